--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -1,9 +1,9 @@
-"""Choose the target of a request: by the time to its answer, where its key is warm.
+"""Choose the target of each request by the expected time to its answer.
 
-A key has an order of targets that every entry of the region computes alike.  Its first target
-takes its requests as long as an answer can be expected in time; the second one helps out when it
-has a free slot and answers sooner, be it cold, and others only while they are mostly idle.  So keys
-stay warm, and overload does not spread them.
+Every entry of a region computes the same order of targets for a key.  The key's first target gets
+its requests as long as it is expected to answer in time.  The second target helps out when it has
+a free slot and answers sooner, even if it is cold for the key; other targets help only while they
+are mostly idle.  This keeps keys warm, and overload doesn't spread a key over all targets.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 from halldoor.core.targets.target import Target
 
 IN_USE_S = 1.0
-"""Time since the last request to a target within which it is in use, in seconds."""
+"""Time after the last request to a target for which it counts as in use, in seconds."""
 AIM_SHARE = 0.9
-"""Part of a route's aim to plan for; the rest is the way between caller and entry."""
+"""Part of a route's aim to plan for; the remainder is the travel between caller and entry."""
 
 
 class NoTarget(NamedTuple):
@@ -39,14 +39,14 @@
     Attributes
     ----------
     reason : str
-        Why, in a few words.
+        Why no target was chosen, as a short fixed text.
     passed_over : Mapping of str to int
-        How many targets were passed over, by reason.
-    room_after_s : float
-        When the first of the key's targets should have a free slot, in seconds; 0 where that is
-        not known.
-    is_asked : bool
-        All targets asked for a rest, and it is when the first of those ends.
+        Number of targets that were passed over, by reason.
+    free_slot_after_s : float
+        Expected time until the first of the key's targets has a free slot, in seconds; 0 where it
+        is not known.
+    is_backoff : bool
+        All targets asked this entry to back off, and the time is until the first back-off ends.
     """
 
     reason: str
@@ -60,12 +60,12 @@
 
 
 class Choice(NamedTuple):
-    """A target for a request, and what is expected of it.
+    """The target chosen for a request, and its expected cost.
 
     Attributes
     ----------
     place : int
-        Place of the target in the key's order, from 0; targets not worth trying don't count.
+        Position of the target in the key's order, from 0, not counting targets passed over.
     """
 
     target: Target
@@ -74,7 +74,7 @@
 
 
 class TargetOut(NamedTuple):
-    """A target that gets no requests, or few, and why."""
+    """A target that gets no requests, or fewer than its share, and the reason."""
 
     target: str
     service: str
@@ -82,22 +82,22 @@
 
 
 class Chooser:
-    """Choose targets and count what is on them from here.
+    """Chooses targets and counts this entry's requests in flight on each.
 
     Parameters
     ----------
     catalog : Catalog
-        The targets.
+        The targets that this entry knows.
     outliers : OutlierTable
-        Which of them fail.
+        Targets that are ejected because they fail or are slow.
     loads : LoadTable
-        What load they reported.
+        Load that the targets reported.
     latency : LatencyModel
-        How long they take.
+        Observed travel and work times.
     own_name : str
-        Name of this entry, for its rank among those that may send to a cold target.
+        Name of this entry, for its rank among the entries that may send to a cold target.
     settings : ChoiceSettings
-        Bounds.
+        Bounds of the choice.
     own_hall, own_region : str
         Hall and region of this entry and its callers.
     regions : Mapping of str to str
@@ -138,18 +138,18 @@
         self._chosen_at: dict[str, float] = {}
 
     def begin(self, now: float) -> None:
-        """Begin to choose, after the start of this entry."""
+        """Record the start of this entry, from which its shares of bounded rates are counted."""
         self._rates.begin(now)
 
     def choose(
         self, route: Route, service: str, key: str, now: float, *, tried: Collection[str] = ()
     ) -> Choice | NoTarget:
-        """Choose a target and, where its rate is bounded, take from this entry's share.
+        """Choose a target and, where its rate is bounded, use one request of this entry's share.
 
         Parameters
         ----------
         tried : collection of str, optional
-            Targets that had this request before.
+            Targets that this request was already sent to.
         """
         settings = self.settings
         key = key if settings.uses_keys else ""
@@ -191,21 +191,21 @@
         return NoTarget("no room", passed, min((w for w in waits if w > 0), default=0.0))
 
     def find_rest(self, targets: Sequence[Target], now: float) -> float:
-        """Return when the first of some targets wants requests again, in seconds.
+        """Return the time until the first of some targets accepts requests again, in seconds.
 
-        It is 0 where one of them wants any now.
+        It is 0 where one of them has no back-off in force.
         """
         return min((self.rests.find_wait(target.start, now) for target in targets), default=0.0)
 
     def _find_far_travel(self) -> float | None:
-        """Find the shortest round trip to another region; None where none is known."""
+        """Return the shortest round trip to another region, in seconds; None if unknown."""
         halls = [h for h in self._latency.list_measured_halls() if self.orders.is_far(h)]
         return min(map(self._latency.get_shortest_travel, halls), default=None)
 
     def _weigh(
         self, target: Target, key: str, levels: WorkLevels, place: int, now: float
     ) -> Choice:
-        """Weigh a target for a request."""
+        """Estimate a target's cost for a request."""
         estimate = self._costs.estimate(
             target,
             key,
@@ -219,12 +219,12 @@
     def _find_reason_against(
         self, choice: Choice, key: str, route: Route, levels: WorkLevels
     ) -> str:
-        """Return why a target can't take a request now; empty where it can."""
+        """Return why a target can't take a request now; empty if it can."""
         target, estimate, place = choice
         if not self._has_room(target, estimate.on_target):
             return "full"
         if key and place and estimate.wait_s > 0:
-            # What waits there would only make its own keys wait too.
+            # A request that waits there would delay the requests of the target's own keys.
             return "busy"
         limit = self.settings.wait_limit
         left_s = AIM_SHARE * route.aim_s - estimate.travel_s - levels.warm_s
@@ -233,31 +233,31 @@
         return ""
 
     def _is_spare(self, target: Target, now: float) -> bool:
-        """Check whether a target that is none of the key's own is mostly idle."""
+        """Check whether a target beyond the key's own ones is mostly idle and may help out."""
         limit = self.settings.spare_load
         count = self._count(target, now)
         is_idle = count < limit * target.record.slots and self._has_room(target, count)
-        # What has not reported yet may be as busy as the others.
+        # A target that has not reported its load yet may be as busy as the others.
         is_known = self._loads.has_report(target.name)
         return is_idle and is_known and self._loads.get_pressure(target.name) < limit
 
     def _take(self, target: Target, now: float) -> bool:
-        """Take a request of a target's rate, where that is bounded."""
+        """Use one request of this entry's share of a target's rate; False if none is left."""
         if not self._rates.take(target, now, self.settings):
             return False
         self._chosen_at[target.name] = now
         return True
 
     def list_in_use(self, now: float) -> list[str]:
-        """List the targets that were chosen lately."""
+        """List the targets that were chosen in the last `IN_USE_S` seconds."""
         return [name for name, at in self._chosen_at.items() if now - at <= IN_USE_S]
 
     def _count(self, target: Target, now: float) -> float:
-        """Estimate the requests on a target."""
+        """Estimate the requests on a target from all entries."""
         return self.in_flight[target.name] + self._loads.estimate_others(target.name, now)
 
     def list_out(self, now: float) -> list[TargetOut]:
-        """List the targets that get no requests, or few, for operators to look at."""
+        """List the targets that get no requests, or fewer than their share, for operators."""
         found = []
         for target in self._catalog.list_targets():
             reason = self._find_reason_out(target, now)
@@ -266,7 +266,7 @@
         return found
 
     def _find_reason_out(self, target: Target, now: float) -> str:
-        """Return why a target gets no requests, or few; empty where it gets its share."""
+        """Return why a target gets less than its share of requests; empty if it gets its share."""
         if target.is_draining:
             return "draining"
         if target.record.hall in self._catalog.evacuated:
@@ -281,7 +281,7 @@
 
     @contextmanager
     def count(self, target: str) -> Iterator[None]:
-        """Count a request as in flight on a target until the block ends."""
+        """Count a request as in flight on a target while the context is open."""
         self.in_flight[target] += 1
         try:
             yield
@@ -291,22 +291,22 @@
                 del self.in_flight[target]
 
     def forget(self, target: str) -> None:
-        """Drop what was counted of a target that is gone."""
+        """Drop the counts of a target that was removed."""
         self._rates.forget(target)
         self._chosen_at.pop(target, None)
 
     def _iter_candidates(
         self, order: Sequence[Target], now: float, tried: Collection[str], passed: Counter[str]
     ) -> Iterator[Target]:
-        """Return the targets worth trying, in order; doubtful ones only where there is no other.
+        """Yield the targets that may be tried, in order; unhealthy ones only if there is no other.
 
-        Most choices take one of the first two, so that the others are not looked at: a known key's
-        choice does not grow with the number of targets.
+        Most choices use one of the first two, and the others are not evaluated: the cost of a
+        choice for a key whose order is cached does not grow with the number of targets.
         """
         doubtful = self._list_doubtful(now)
         is_widespread = False
         if doubtful:
-            # Where most look broken, the measurement is more likely wrong than the targets.
+            # If most targets look broken, the measurement is more likely wrong than the targets.
             count = sum(target.name in doubtful for target in order)
             is_widespread = count > self.settings.ejected_share * len(order)
         out = {*doubtful, *self.rests.list_resting(now)} if self.rests else doubtful
@@ -324,8 +324,9 @@
                 else:
                     put_off.append(target)
             elif reason := self._rates.find_reason_against(target, now, self.settings):
-                # It must not stand for one of the key's own targets: those that served the key
-                # before it came back are next, and warm; requests would be refused beside them.
+                # Such a target must not use up one of the key's positions: the targets that served
+                # the key before this one came back are next, and warm.  Counting it would refuse
+                # requests that they could serve.
                 passed[reason] += 1
             else:
                 has_sound = True
@@ -336,10 +337,10 @@
     def _number(
         self, first: Target, candidates: Iterator[Target], tried: Collection[str]
     ) -> Iterator[tuple[int, Target]]:
-        """Return candidates with their places, from 0.
+        """Yield candidates with their positions, from 0.
 
-        Where a key's near first target is out, a far one does not stand for it: what waits there
-        makes that region's callers late too.
+        If a key's first target is in the own region but excluded, a far target doesn't get
+        position 0 in its stead: requests that wait there would delay that region's callers too.
         """
         place = 0
         for target in candidates:
@@ -350,13 +351,13 @@
             place += 1
 
     def _list_doubtful(self, now: float) -> Mapping[str, str]:
-        """Return the targets that are left alone for now, and why."""
+        """Return the targets that are avoided for now, with the reason."""
         doubtful = dict.fromkeys(self._catalog.lapsed, "lapsed")
         doubtful.update(dict.fromkeys(self._outliers.list_ejected(now), "ejected"))
         return doubtful
 
     def _has_room(self, target: Target, count: float) -> bool:
-        """Check whether a target has room, by own counts and by what it reported."""
+        """Check whether a target has a free slot, by this entry's counts and its reports."""
         own = self.in_flight[target.name]
         if own and self._outliers.is_on_trial(target.name):
             return False
@@ -365,19 +366,19 @@
         return count < self.settings.full_load * target.record.slots
 
     def _bound(self, target: Target) -> int:
-        """Return the requests that this entry may have on a target.
+        """Return the requests that this entry may have on a target that never reported its load.
 
-        The shares of all entries add up to the whole, as long as each has at least one.
+        The shares of all entries add up to the target's limit, unless it is below one per entry.
         """
         total = round(self.settings.load_factor * target.record.slots)
         whole, rest = divmod(total, self._catalog.count_members())
         if not whole:
-            # One at least, whatever the rank: ranking this entry in a large fleet for each target
+            # At least one, whatever the rank: ranking this entry in a large fleet for each target
             # that has not reported would take half of its processor time at the fleet's start.
             return 1
         return max(1, whole + (1 if self._ranks.get_rank(target.name) < rest else 0))
 
 
 def name_kind(service: str, route: Route) -> str:
-    """Name a kind of request, for which targets work alike."""
+    """Return the name of a kind of request: those of one service and route take similar work."""
     return f"{service}/{route.name}"
--- a/halldoor/core/targets/cost.py
+++ b/halldoor/core/targets/cost.py
@@ -1,4 +1,4 @@
-"""What a target would cost a request: the time to its answer, by its parts."""
+"""Estimates of a target's cost for a request: travel, wait for a slot, and work."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from halldoor.core.targets.target import Target
 
 EVENNESS = 0.25
-"""What a target's load counts for requests without a key, in multiples of their work.
+"""Weight of a target's load in the cost of requests without a key, in multiples of their work.
 
-Between targets that all have a free slot, it lets the emptier one win.
+Of several targets that have a free slot, the one with the lower load is chosen.
 """
 ASSUMED_COLD_FACTOR = 1.5
-"""Least factor of cold over warm work that is assumed of a route whose operators ask for affinity.
+"""Least ratio of cold to warm work that is assumed for requests with an affinity key.
 
-An entry of a large fleet meets a key once in a minute or less often, so that it can't tell warm
-from cold by its own answers: other entries have warmed most keys that are new to it.  Without the
-assumption a wait of one request's turn sends a key to its second target, which pays a cold start.
+An entry of a large fleet gets a key once a minute or less often, so it can't distinguish warm from
+cold work by its own answers: other entries have warmed most keys that are new to it.  Without this
+assumption, a wait for one slot would send a key to its second target, which is cold for it.
 """
 JUST_STARTED_FACTOR = 2.0
-"""Times that a target which just started takes for cold work, while its start lasts."""
+"""Work of a target in its cold start, in multiples of cold work."""
 
 
 class Estimate(NamedTuple):
-    """What is expected of a target for one request.
+    """The expected cost of one request at a target.
 
     Attributes
     ----------
     on_target : float
-        Requests on the target.
+        Requests on the target from all entries.
     travel_s, wait_s, work_s : float
-        Time on the way, waiting for a slot, and in work, in seconds.
-    evenness_s : float
-        What is added where targets are compared, in seconds; not part of the time.
+        Round trip, wait for a slot, and work, in seconds.
+    balance_s : float
+        Addition for the target's load when targets are compared, in seconds; no actual time.
     """
 
     on_target: float
@@ -44,37 +44,37 @@
 
     @property
     def time_s(self) -> float:
-        """Time to the answer, in seconds."""
+        """Expected time to the answer, in seconds."""
         return self.travel_s + self.wait_s + self.work_s
 
     @property
     def cost_s(self) -> float:
-        """What targets are compared by, in seconds."""
+        """Cost by which targets are compared, in seconds."""
         return self.time_s + self.evenness_s
 
     def find_cost(self, *, least_travel_s: float) -> float:
-        """Return the cost with at least so much travelling, in seconds.
+        """Return the cost with a travel time of at least `least_travel_s`, in seconds.
 
-        A key's second target must not win by being nearer than the first: each entry would take
-        the one near it, and both would pay the key's cold start.
+        A key's second target must not win because it is nearer than the first: each entry would
+        choose the one near it, and both targets would have to warm up for the key.
         """
         return self.cost_s + max(0.0, least_travel_s - self.travel_s)
 
 
 class CostModel:
-    """Estimates from observed times.
+    """Estimates the cost of targets from observed times.
 
     Parameters
     ----------
     latency : LatencyModel
-        How long targets take.
+        Observed travel and work times.
     """
 
     def __init__(self, latency: LatencyModel) -> None:
         self._latency = latency
 
     def get_levels(self, kind: str) -> WorkLevels:
-        """Return the work of a kind of request."""
+        """Return the warm, cold and mean work times of a kind of request."""
         return self._latency.get_levels(kind)
 
     def estimate(
@@ -87,14 +87,14 @@
         place: int,
         now: float,
     ) -> Estimate:
-        """Estimate what a target would cost.
+        """Estimate the cost of a request at a target.
 
         Parameters
         ----------
         on_target : float
-            Requests on the target.
+            Requests on the target from all entries.
         place : int
-            Place of the target in the key's order, from 0; targets not worth trying don't count.
+            Position of the target in the key's order, from 0, not counting targets passed over.
         """
         slots = max(1, target.record.slots)
         wait_s = max(0.0, on_target - slots + 1) * levels.mean_s / slots
@@ -107,7 +107,10 @@
     def _expect_work(
         self, target: Target, key: str, levels: WorkLevels, place: int, now: float
     ) -> float:
-        """Expect a key's first target to be warm, others only where this entry sent the key."""
+        """Return the expected work time, in seconds.
+
+        A key's first target is expected to be warm, others only if this entry sent them the key.
+        """
         if target.is_cold(now):
             return JUST_STARTED_FACTOR * levels.cold_s
         if not key:
--- a/halldoor/core/targets/latency.py
+++ b/halldoor/core/targets/latency.py
@@ -1,7 +1,7 @@
-"""What an entry observed of time: travelling to halls, and work at targets, warm and cold.
+"""Observed times: round trips to halls, and the work of targets for warm and cold keys.
 
-A target that lately saw a key answers faster for it.  Nobody tells which keys are warm where,
-nor how much that is worth; both are learnt from the entry's own answers.
+A target that recently served a key answers faster for it.  Targets don't report which keys are
+warm or how much faster these are; the entry estimates both from the answers that it gets.
 """
 
 from __future__ import annotations
@@ -11,34 +11,35 @@
 from typing import NamedTuple
 
 SAMPLES = 48
-"""Answers that the levels of a service's work are taken from, of each sort."""
+"""Answers from which the work levels of a kind of request are computed: so many to known keys, and
+so many to new ones."""
 RENEWAL_SAMPLES = 8
 """Answers between two computations of the levels, once `SAMPLES` of them are there."""
 WARM_QUANTILE = 0.25
-"""Quantile of answers to known keys that counts as warm: some of them are cold again."""
+"""Quantile of the work for known keys that is taken as warm: some keys are cold again."""
 COLD_QUANTILE = 0.9
-"""Quantile of answers to new keys that counts as cold: others may have warmed most of them."""
+"""Quantile of the work for new keys that is taken as cold: other entries may have warmed most."""
 MEAN_WEIGHT = 0.03
-"""Weight of the newest answer in a service's mean work: about the last thirty count."""
+"""Weight of the newest answer in the mean work: about the last thirty count."""
 TRAVEL_WEIGHT = 0.1
-"""Weight of a longer connect time than known; a shorter one counts at once."""
+"""Weight of a connect time longer than the known one; a shorter one replaces it at once."""
 WORK_PRIOR_S = 0.1
-"""Work assumed of a service before its first answer, in seconds."""
+"""Work assumed for a kind of request before its first answer, in seconds."""
 PAIRS_KEPT = 20_000
 """Pairs of target and key that are remembered; about 3 MB."""
 
 
 class WorkLevels(NamedTuple):
-    """Time that a target works on a request of one kind, in seconds.
+    """Work times of a target for one kind of request, in seconds.
 
     Attributes
     ----------
     warm_s, cold_s : float
-        With and without the key's object at hand.
+        Work for a key that is warm or cold at the target, in seconds.
     mean_s : float
-        Over all requests, which is how long each occupies a slot.
+        Mean over all requests, in seconds: the time for which a request occupies a slot.
     is_known : bool
-        They were observed; else they are a guess.
+        The times were observed; otherwise they are assumed.
     """
 
     warm_s: float
@@ -51,7 +52,7 @@
 
 
 class _Samples:
-    """Answers of one kind of request, and the levels that follow."""
+    """Work times of the last answers to one kind of request, and the levels computed from them."""
 
     def __init__(self) -> None:
         self._known: deque[float] = deque(maxlen=SAMPLES)
@@ -60,7 +61,7 @@
         self.levels = _UNKNOWN
 
     def add(self, work_s: float, *, is_known_key: bool) -> None:
-        """Add an answer that did not wait for a slot."""
+        """Add the work time of an answer that did not wait for a slot."""
         (self._known if is_known_key else self._new).append(work_s)
         mean_s = self.levels.mean_s if self._count else work_s
         mean_s += MEAN_WEIGHT * (work_s - mean_s)
@@ -77,7 +78,7 @@
 
 
 class LatencyModel:
-    """Travelling times by hall, work by kind of request, and where keys are warm.
+    """Round-trip times by hall, work by kind of request, and the targets that served each key.
 
     A kind of request is named by its service and route.
     """
@@ -89,38 +90,39 @@
         self._pairs: OrderedDict[tuple[str, str], None] = OrderedDict()
 
     def add_connect(self, hall: str, took_s: float) -> None:
-        """Take the time of a new connection: one round trip."""
+        """Record the time to open a connection to a hall, which is one round trip, in seconds."""
         known_s = self._travel_s.get(hall, took_s)
         weight = TRAVEL_WEIGHT if took_s > known_s else 1.0
         self._travel_s[hall] = known_s + weight * (took_s - known_s)
         self._shortest_s[hall] = min(took_s, self._shortest_s.get(hall, took_s))
 
     def get_travel(self, hall: str) -> float:
-        """Return the time of a round trip to a hall, in seconds; 0 where it is not known."""
+        """Return the average round trip to a hall, in seconds; 0 if unknown."""
         return self._travel_s.get(hall, 0.0)
 
     def get_shortest_travel(self, hall: str) -> float:
-        """Return the shortest round trip to a hall so far, in seconds; 0 where none is known.
+        """Return the shortest round trip to a hall so far, in seconds; 0 if unknown.
 
-        Lost packets and a busy process never raise it, so that it says how far the hall is.
+        Lost packets and a busy process never raise it, so that it shows the hall's distance.
         """
         return self._shortest_s.get(hall, 0.0)
 
     def list_measured_halls(self) -> Collection[str]:
-        """List the halls to which a connection was opened."""
+        """Return the halls to which a connection was opened."""
         return self._shortest_s.keys()
 
     def add_answer(
         self, kind: str, target: str, hall: str, key: str, *, took_s: float, has_waited: bool
     ) -> None:
-        """Take a sound answer.
+        """Record a successful answer.
 
         Parameters
         ----------
         took_s : float
-            Time from sending to the whole answer, in seconds, on a connection that was there.
+            Time from sending to the whole answer on an open connection, in seconds.
         has_waited : bool
-            The target was full when it was chosen, so that the time says little of the work.
+            The target was full when it was chosen, so that the time includes a wait and is not
+            used as a work time.
         """
         is_known = self.has_sent(target, key)
         if not has_waited:
@@ -133,20 +135,20 @@
                 self._pairs.popitem(last=False)
 
     def forget(self, target: str) -> None:
-        """Drop what a target had of keys: it is gone, or knows nothing any more."""
+        """Drop the record of a target's keys, after it was removed or lost its warm state."""
         for pair in [pair for pair in self._pairs if pair[0] == target]:
             del self._pairs[pair]
 
     def has_sent(self, target: str, key: str) -> bool:
-        """Check whether this entry had an answer for a key from a target."""
+        """Check whether this entry recorded an answer of a target to a key."""
         return (target, key) in self._pairs
 
     def get_levels(self, kind: str) -> WorkLevels:
-        """Return the work of a kind of request; a guess before its first answer."""
+        """Return the work levels of a kind of request; assumed ones before its first answer."""
         samples = self._samples.get(kind)
         return _UNKNOWN if samples is None else samples.levels
 
 
 def _find_quantile(samples: deque[float], quantile: float) -> float:
-    """Find a quantile of some samples."""
+    """Return a quantile of some samples."""
     return sorted(samples)[int(quantile * len(samples))]
--- a/halldoor/core/targets/load.py
+++ b/halldoor/core/targets/load.py
@@ -1,9 +1,9 @@
-"""How many requests are on a target: own counts, and what others had by its last report.
+"""Estimates of other entries' requests on a target, from the loads that targets report.
 
-Load pattern: keys that stay on their targets, so that a target with several of them is busy for
-long, and entries that hear of it the more seldom the larger the fleet is.  How long a report counts
-follows from what is observed: the time until the next one is due, and the work of the service.  A
-fixed time would be too short for a large fleet, or too long for a small one.
+Load pattern: keys stay on their targets, so that a target with several keys is busy for long, and
+the larger the fleet, the less often an entry gets a report of it.  How long a report counts is
+computed from the observed time between reports and from the service's work.  A fixed time would be
+too short for a large fleet, or too long for a small one.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 from typing import NamedTuple
 
 NEWS_LEAST_S = 0.2
-"""Shortest time in which a report fades, in seconds: one to two requests of 0.1 s."""
+"""Shortest decay time of a report, in seconds: one to two requests of 0.1 s."""
 NEWS_GAPS = 0.5
-"""Time in which a report fades, in parts of the time until the next one is due."""
+"""Decay time of a report, in multiples of the time between two reports of a target."""
 NEWS_WORKS = 8.0
-"""Longest time in which a report fades, in multiples of the mean work: a queue has changed then."""
+"""Longest decay time of a report, in multiples of the mean work: the queue has changed by then."""
 HABIT_LEAST_S = 3.0
-"""Shortest time in which what others usually have is forgotten without reports, in seconds."""
+"""Shortest decay time of others' average requests without further reports, in seconds."""
 HABIT_GAPS = 4.0
-"""The same, in multiples of the time until the next report is due: several did not come."""
+"""The same in multiples of the time between two reports of a target: several are missing then."""
 INTERVAL_WEIGHT = 0.05
-"""Weight of the newest interval between two reports of a service: about the last twenty count."""
+"""Weight of the newest interval between reports of a service: about the last twenty count."""
 HABIT_WEIGHT = 0.2
-"""Weight of the newest report in what others usually have: about the last five count."""
+"""Weight of the newest report in others' average requests: about the last five count."""
 PRESSURE_WEIGHT = 0.1
 """Weight of the newest report in a target's pressure: about the last ten count."""
 
 
 class LoadReport(NamedTuple):
-    """What a target said of itself.
+    """The load that a target reported in an answer.
 
     Attributes
     ----------
     running, waiting : int
-        Requests that it worked on, and that it had queued; the answered one is among them.
+        Requests that it ran, and that it had queued, the answered one included.
     slots : int
-        Requests that it can work on at a time.
+        Requests that it can run at a time.
     """
 
     running: int
@@ -46,7 +46,7 @@
 
     @classmethod
     def from_text(cls, text: bytes) -> LoadReport | None:
-        """Read ``running,waiting,slots``; None where it can't be read."""
+        """Parse ``running,waiting,slots``; None if the text is malformed."""
         try:
             running, waiting, slots = (int(part) for part in text.split(b","))
         except ValueError:
@@ -55,19 +55,19 @@
 
     @property
     def load(self) -> float:
-        """Requests on the target in multiples of its slots."""
+        """Requests on the target, running and queued, in multiples of its slots."""
         return (self.running + self.waiting) / self.slots
 
 
 class Fade(NamedTuple):
-    """How fast a report stops counting.
+    """Decay times of a report.
 
     Attributes
     ----------
-    news_s : float
-        Time in which what others had at a report falls to a third, in seconds.
-    habit_s : float
-        Time in which what others usually have is forgotten without reports, in seconds.
+    report_s : float
+        Time in which the weight of the last report falls to a third, in seconds.
+    average_s : float
+        Time in which others' average requests fall to a third without reports, in seconds.
     """
 
     news_s: float = NEWS_LEAST_S
@@ -75,18 +75,18 @@
 
     @classmethod
     def from_pace(cls, *, gap_s: float, work_s: float) -> Fade:
-        """Derive it from the time between two reports of a target, and the service's work."""
+        """Compute it from the time between two reports of a target, and the service's work."""
         news_s = min(NEWS_GAPS * gap_s, NEWS_WORKS * work_s)
         return cls(max(NEWS_LEAST_S, news_s), max(HABIT_LEAST_S, HABIT_GAPS * gap_s))
 
     @property
     def old_s(self) -> float:
-        """Age from which a report itself hardly counts, only what is usual, in seconds."""
+        """Age from which a report hardly counts, only the average does, in seconds."""
         return 3 * self.news_s
 
 
 class _Pace:
-    """How often this entry hears of a service's targets, all together.
+    """The rate at which this entry gets reports of a service's targets, all together.
 
     Attributes
     ----------
@@ -100,7 +100,7 @@
         self.fade = Fade()
 
     def add(self, now: float) -> None:
-        """Take the moment of a report."""
+        """Record the time of a report."""
         if self._last_at is not None:
             interval_s = now - self._last_at
             weight = INTERVAL_WEIGHT if self.interval_s else 1.0
@@ -109,18 +109,18 @@
 
 
 class _Reported:
-    """What a target's reports say.
+    """The load of a target by its reports.
 
     Attributes
     ----------
     others : float
         Requests of other entries at the last report.
-    usual : float
-        Moving average of that.
+    average : float
+        Moving average of others' requests.
     pressure : float
         Moving average of the reported load, in multiples of the slots.
     pace : _Pace
-        How often the service's targets are heard of.
+        Rate of reports of the service's targets.
     """
 
     def __init__(self, pressure: float, pace: _Pace) -> None:
@@ -133,14 +133,14 @@
 
 
 class LoadTable:
-    """What the targets' reports say, beyond one's own requests."""
+    """Loads of the targets by their reports, this entry's own requests deducted."""
 
     def __init__(self) -> None:
         self._reported: dict[str, _Reported] = {}
         self._paces: dict[str, _Pace] = {}
 
     def adapt(self, service: str, *, targets: int, work_s: float) -> None:
-        """Let reports of a service fade by its size and work.
+        """Compute the decay times of a service's reports from its size and work.
 
         Parameters
         ----------
@@ -153,13 +153,13 @@
         pace.fade = Fade.from_pace(gap_s=targets * pace.interval_s, work_s=work_s)
 
     def _find_pace(self, service: str) -> _Pace:
-        """Return the pace of a service's reports."""
+        """Return the pace of a service's reports, new if there is none."""
         return self._paces.setdefault(service, _Pace())
 
     def add(
         self, target: str, report: LoadReport, now: float, *, own: int, service: str = ""
     ) -> None:
-        """Take a report.
+        """Record a target's report.
 
         Parameters
         ----------
@@ -183,9 +183,9 @@
         return target in self._reported
 
     def estimate_others(self, target: str, now: float) -> float:
-        """Estimate other entries' requests on a target; 0 where nothing is known.
+        """Estimate other entries' requests on a target; 0 if it never reported.
 
-        Right after a report it is what the report said, then what is usual, then nothing.
+        The estimate decays from the reported number to the average, and from there to 0.
         """
         known = self._reported.get(target)
         if known is None:
@@ -201,20 +201,20 @@
         return Fade().old_s if known is None else known.pace.fade.old_s
 
     def get_pressure(self, target: str) -> float:
-        """Return the load that a target had lately, in multiples of its slots."""
+        """Return the moving average of a target's load, in multiples of its slots; 0 if unknown."""
         known = self._reported.get(target)
         return 0.0 if known is None else known.pressure
 
     def get_load(self, target: str) -> float:
-        """Return the load that a target reported last; 0 where it never did."""
+        """Return a target's last reported load, in multiples of its slots; 0 if there is none."""
         known = self._reported.get(target)
         return 0.0 if known is None else known.load
 
     def age(self, target: str, now: float) -> float | None:
-        """Return the age of a target's last report in seconds; None where there is none."""
+        """Return the age of a target's last report, in seconds; None if there is none."""
         known = self._reported.get(target)
         return None if known is None else now - known.at
 
     def forget(self, target: str) -> None:
-        """Drop the reports of a target that is gone."""
+        """Drop the reports of a target that was removed."""
         self._reported.pop(target, None)
--- a/halldoor/core/targets/order.py
+++ b/halldoor/core/targets/order.py
@@ -1,4 +1,4 @@
-"""The order of a service's targets for a key, alike on every entry of a region."""
+"""The order of a service's targets for a key, computed identically on every entry of a region."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from halldoor.core.targets.target import Target
 
 ORDERS_KEPT = 4_096
-"""Orders of targets by key that are kept between changes; a few hundred bytes each."""
+"""Orders by key that are cached until a target changes; a few hundred bytes each."""
 
 OWN_WEIGHT = 6.0
-"""Weight of the own region's targets among a key's further targets."""
+"""Factor on the weight of the own region's targets, for a key's targets after the first."""
 
 _UNITS = float((1 << 64) + 1)
 _BY_SCORE = itemgetter(0, 1)
@@ -34,16 +34,16 @@
 
 
 class _Placement(Enum):
-    """Where a key's targets are to stand.
+    """The regions that a key's targets come from.
 
     Attributes
     ----------
     OWN, OTHER
-        The first one in the own region, or in another.
+        The first target is in the own region, or in another one; the others are in any.
     AWAY
-        All in other regions, as far as there are any.
+        Targets of other regions come before all of the own region.
     ANY
-        Anywhere.
+        No preference.
     """
 
     OWN = auto()
@@ -53,7 +53,7 @@
 
 
 class _Candidate(NamedTuple):
-    """A target that may be in an order, with what does not depend on the key."""
+    """A target that may be in an order, with the values that don't depend on the key."""
 
     name: str
     encoded_name: bytes
@@ -62,14 +62,14 @@
 
 
 class OrderSettings(NamedTuple):
-    """How keys are placed.
+    """Settings that decide which regions a key's targets come from.
 
     Attributes
     ----------
     fill, most : float
-        How far the own region's targets are preferred; see `RegionShares`.
+        Preference for the own region's targets; see `RegionShares`.
     max_shift : float
-        Part of the region's requests that may change its region at a time; see `OwnShare`.
+        Part of the region's requests that may move to another region at a time; see `OwnShare`.
     """
 
     fill: float
@@ -78,12 +78,12 @@
 
 
 class _Order(NamedTuple):
-    """A key's order.
+    """A key's cached order.
 
     Attributes
     ----------
     until : float
-        When the next of its targets stops being cold.
+        Time at which the next of its targets stops being cold, and the order is computed again.
     """
 
     targets: Sequence[Target]
@@ -91,16 +91,16 @@
 
 
 class _ServiceShare:
-    """The share of one service's keys that stay in the region, and what it follows from.
+    """The share of one service's keys that stay in the region, with the inputs it is computed from.
 
     Attributes
     ----------
-    room, aim : Room, float
-        Slots, and the share that follows from them.
-    asked : tuple of (float, float)
-        The `OrderSettings` that the aim was found for: fill and most.
+    slots, aim : RegionSlots, float
+        Slots by region, and the share that they call for.
+    fill_settings : tuple of (float, float)
+        The `OrderSettings` that the aim was computed with: fill and most.
     version : int
-        Version of the catalog that they were found for.
+        Version of the catalog that slots and aim were computed for.
     """
 
     def __init__(self) -> None:
@@ -117,9 +117,9 @@
     Parameters
     ----------
     catalog : Catalog
-        The targets.
+        The targets that this entry knows.
     own_name, own_hall, own_region : str
-        This entry, its hall and its region.
+        Name of this entry, its hall and its region.
     regions : Mapping of str to str
         Region of each hall.
     """
@@ -149,12 +149,12 @@
     ) -> Sequence[Target]:
         """Return the usable targets of a service in their order for a key.
 
-        Without the cold ones, it is the order as if those were gone.
+        With the cold targets left out, it is the order that would hold if they didn't exist.
 
         Parameters
         ----------
         key : str
-            Requests without one are ordered by this entry's name, so that entries differ.
+            Affinity key; if empty, this entry's name is used, so that the entries' orders differ.
         """
         if self._version != self._catalog.version or len(self._orders) > ORDERS_KEPT:
             self._version = self._catalog.version
@@ -174,17 +174,18 @@
         return order.targets
 
     def replace_first(self, order: Sequence[Target], out: Collection[str]) -> Sequence[Target]:
-        """Let the next target of the first one's region stand first while that one is out.
+        """Move the next usable target of the first one's region to the front.
 
-        It is where the key goes when the target is gone, so that its requests move once: else they
-        go to another region first, and come back when the target's record goes.
+        The key moves to that target anyway when the first one's record is removed, so its requests
+        move only once.  Otherwise they would go to another region first and come back when the
+        record is removed.
 
         Parameters
         ----------
         order : sequence of Target
             A key's order, not empty.
         out : collection of str
-            Targets that are left alone for now.
+            Targets that are avoided for now.
         """
         is_far = self.is_far(order[0].record.hall)
         return _put_first(
@@ -194,7 +195,7 @@
     def _build_order(
         self, candidates: Sequence[_Candidate], key: str, placement: _Placement, now: float
     ) -> _Order:
-        """Order targets for a key."""
+        """Compute the order of some targets for a key."""
         hashes = hash_pairs(key, [c.encoded_name for c in candidates])
         scored = [
             (-candidate.weight / math.log((pair + 1) / _UNITS), candidate.name, candidate.target)
@@ -205,9 +206,10 @@
         if len(warm) == len(scored):
             return _Order(self._place(warm, placement), math.inf)
         order = self._place([target for _, _, target in scored], placement)
-        # Targets of a hall turn cold, and stop being cold, in the same moment.  They keep their
-        # places, for what their rates allow, and the others are ordered as if those were gone:
-        # otherwise a third of the region's requests would change their region at once.
+        # All targets of a hall may turn cold, and stop being cold, at the same moment.  Cold
+        # targets keep their positions, and get what their rates allow; the others are ordered as
+        # if the cold ones didn't exist.  Otherwise a third of the region's requests would change
+        # their region at once.
         others = iter(self._place(warm, placement))
         targets = [target if target.is_cold(now) else next(others) for target in order]
         until = min(target.cold_until for target in order if target.is_cold(now))
@@ -216,7 +218,7 @@
     def _find_placement(
         self, route: Route, service: str, key: str, now: float, settings: OrderSettings
     ) -> _Placement:
-        """Find in which region a key's targets stand, by the region's share."""
+        """Return which regions a key's targets come from, by the region's share of the keys."""
         if settings.fill <= 0:
             return _Placement.ANY
         share = self._follow_share(route, service, settings, now)
@@ -226,12 +228,13 @@
         share.weights.add(point, now)
         if point < share.present:
             return _Placement.OWN
-        # What spills comes back as slowly as the keys do: together they must not pass the bound.
+        # Requests that spill to other regions return as slowly as the keys do: both together must
+        # stay within the bound on moves.
         is_away = share.lag > 0 and to_unit(f"spill of {key}") < share.lag
         return _Placement.AWAY if is_away else _Placement.OTHER
 
     def _place(self, order: Sequence[Target], placement: _Placement) -> Sequence[Target]:
-        """Order targets by the regions that a placement asks for, where they have any."""
+        """Rearrange an order so that targets of the wanted regions come first, if there are any."""
         if placement is _Placement.ANY:
             return order
         if placement is _Placement.AWAY:
@@ -242,9 +245,9 @@
     def _get_candidates(
         self, service: str, homes: tuple[str, ...], prefers_own: bool
     ) -> list[_Candidate]:
-        """Return what is alike for all keys until a target changes, computed once.
+        """Return the candidates of a service, cached until a target changes.
 
-        After each change of targets every key's order is built again.
+        They are the same for all keys, and every key's order is computed again after a change.
         """
         name = (service, homes, prefers_own)
         candidates = self._candidates.get(name)
@@ -258,7 +261,7 @@
         return candidates
 
     def _forget_routes(self) -> None:
-        """Drop the shares of routes that are gone from the configuration."""
+        """Drop the shares of routes that the configuration no longer has."""
         routing = self._catalog.routing
         if routing is not None:
             names = {route.name for route in routing.routes}
@@ -267,7 +270,7 @@
     def _follow_share(
         self, route: Route, service: str, settings: OrderSettings, now: float
     ) -> OwnShare:
-        """Let the part of the keys whose first target is near follow the room."""
+        """Update the share of keys whose first target is in the own region, by the slots there."""
         name = (route.name, service, route.home_regions)
         state = self._shares.get(name)
         if state is None:
@@ -286,7 +289,7 @@
         return state.share
 
     def _measure_room(self, service: str, homes: tuple[str, ...]) -> Room:
-        """Sum up the slots of a service's usable targets."""
+        """Sum the slots of a service's usable targets, in the own region and in others."""
         slots: Counter[bool] = Counter()
         for candidate in self._get_candidates(service, homes, True):
             record = candidate.target.record
@@ -294,34 +297,34 @@
         return Room(own=slots[False], far=slots[True])
 
     def _find_callers(self) -> float:
-        """Find the region's part of the callers.
+        """Return the region's part of the callers, 0 to 1.
 
-        Halls stand for callers: their number is known alike everywhere and never changes with
-        what fails, so that no key moves because entries restart.
+        It is estimated as the region's part of the halls: every entry knows the same number of
+        halls, and failures don't change it, so that no key moves because entries restart.
         """
         halls = [region == self._own_region for region in self.regions.values()]
         return sum(halls) / len(halls) if any(halls) else 1.0
 
     def _weigh(self, target: Target, prefers_own: bool) -> float:
-        """Weigh a target by its slots; those of the own region count for more, if any do."""
+        """Return a target's weight: its slots, times `OWN_WEIGHT` for a preferred own region."""
         slots = float(max(1, target.record.slots))
         is_preferred = prefers_own and not self.is_far(target.record.hall)
         return slots * OWN_WEIGHT if is_preferred else slots
 
     def find_distance(self, target: Target) -> Distance:
-        """Return how far a target is."""
+        """Return how far a target is from this entry."""
         hall = target.record.hall
         if hall == self._own_hall:
             return Distance.HALL
         return Distance.FAR if self.is_far(hall) else Distance.REGION
 
     def is_far(self, hall: str) -> bool:
-        """Check whether a hall stands in another region."""
+        """Check whether a hall is in another region."""
         return self.regions.get(hall) != self._own_region
 
 
 def _put_first(order: Sequence[Target], is_meant: Callable[[Target], bool]) -> Sequence[Target]:
-    """Put the first target that is meant at the front; the order as it is where none is."""
+    """Move the first target that matches to the front; return the order unchanged if none does."""
     for place, target in enumerate(order):
         if is_meant(target):
             return [target, *order[:place], *order[place + 1 :]]
--- a/halldoor/core/targets/outlier.py
+++ b/halldoor/core/targets/outlier.py
@@ -1,4 +1,4 @@
-"""Outlier detection on one's own results: leave failing or slow targets, try them carefully."""
+"""Outlier detection by this entry's own results: failing or slow targets are ejected for a time."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from typing import NamedTuple
 
 FAILURES_TO_EJECT = 2.0
-"""Failures in a row that eject a target; one alone may be a lost packet."""
+"""Consecutive failures that eject a target; a single one may be a lost packet."""
 SLOW_WEIGHT = 0.67
-"""Part of a failure that an answer out of time counts: under load good targets have some."""
+"""Weight of an answer that missed its time, in failures: under load healthy targets have some."""
 EJECT_S = 1.0
-"""First ejection, in seconds; it doubles each time up to `EJECT_LIMIT_S`."""
+"""Duration of the first ejection, in seconds; it doubles each time up to `EJECT_LIMIT_S`."""
 EJECT_LIMIT_S = 8.0
-"""Longest ejection, in seconds; targets that come back are wanted soon."""
+"""Longest ejection, in seconds; targets that recover must get requests again soon."""
 SHED_PAUSE_S = 0.05
-"""First pause after a target was full, in seconds: about a third of a quick request.  It doubles
-while the target answers nothing else, up to `SHED_PAUSE_LIMIT_S`."""
+"""First pause after a full target refused a request, in seconds: about a third of a quick request.
+It doubles with each further refusal in a row, up to `SHED_PAUSE_LIMIT_S`."""
 SHED_PAUSE_LIMIT_S = 0.8
 """Longest such pause, in seconds."""
 SLOW_FACTOR = 3.0
-"""Multiple of the service's usual time from which a target counts as slow.
+"""Multiple of the service's average time from which a target counts as slow.
 
-A cold key takes about three times as long as a warm one, so a target has to be that slow on
-average, not once.
+A cold key takes about three times as long as a warm one, so a single answer that is so slow
+doesn't eject a target; its average has to be.
 """
 SLOW_SAMPLES = 4
-"""Answers of a target before its average counts."""
+"""Answers of a target from which its average is used."""
 TARGET_WEIGHT = 0.3
 """Weight of the newest answer in a target's average time: about the last three count."""
 SERVICE_WEIGHT = 0.02
@@ -33,14 +33,14 @@
 
 
 class OutlierSettings(NamedTuple):
-    """What ejects a target; each can be switched off.
+    """Reasons to eject a target; each can be switched off.
 
     Attributes
     ----------
     ejects_failing : bool
-        Targets that fail again and again, or can't be reached, are left alone for a while.
+        Targets that fail repeatedly, or can't be reached, are ejected.
     ejects_slow : bool
-        So are targets that are much slower than their service.
+        Targets that are much slower than their service are ejected.
     """
 
     ejects_failing: bool = True
@@ -48,14 +48,14 @@
 
 
 class _Results:
-    """What was seen of one target.
+    """Results of one target.
 
     Attributes
     ----------
     ejections : int
-        Ejections in a row; above 0 after one ended, a single failure ejects again.
+        Consecutive ejections; if above 0 when an ejection ended, a single failure ejects again.
     sheds : int
-        Pauses in a row since the target was full.
+        Consecutive pauses because the target was full, counted up to the longest pause.
     """
 
     def __init__(self) -> None:
@@ -68,12 +68,12 @@
 
 
 class OutlierTable:
-    """Results by target, and who is ejected because of them.
+    """Results by target, and the targets that are ejected because of them.
 
     Parameters
     ----------
     settings : OutlierSettings, optional
-        What ejects a target.
+        Reasons to eject a target.
     """
 
     def __init__(self, settings: OutlierSettings | None = None) -> None:
@@ -83,7 +83,7 @@
         self._service_average_s: dict[str, float] = {}
 
     def add_success(self, target: str, service: str, took_s: float, now: float) -> bool:
-        """Count a sound answer; True where it is so slow, again and again, that it ejects."""
+        """Record a successful answer; True if the target is ejected because it is too slow."""
         results = self._results.setdefault(target, _Results())
         usual_s = self._service_average_s.get(service, took_s)
         self._service_average_s[service] = usual_s + SERVICE_WEIGHT * (took_s - usual_s)
@@ -103,21 +103,21 @@
         return False
 
     def _is_slow_on_average(self, results: _Results, usual_s: float) -> bool:
-        """Check whether a target's last answers were much slower than the service's."""
+        """Check whether a target's average time is much longer than its service's."""
         is_known = self._settings.ejects_slow and results.samples >= SLOW_SAMPLES
         return is_known and results.average_s > SLOW_FACTOR * usual_s
 
     def add_failure(
         self, target: str, now: float, *, is_dead: bool = False, is_slow: bool = False
     ) -> bool:
-        """Count a failure; True where it ejects the target.
+        """Record a failure; True if it ejects the target.
 
         Parameters
         ----------
         is_dead : bool, optional
-            No connection came up: one failure is enough.
+            No connection could be opened: one such failure ejects the target.
         is_slow : bool, optional
-            The answer did not come in time: it takes more of these.
+            The answer did not arrive in time, which counts as `SLOW_WEIGHT` failures.
         """
         results = self._results.setdefault(target, _Results())
         if not self._settings.ejects_failing:
@@ -128,9 +128,9 @@
         return self._eject(target, results, now)
 
     def _eject(self, target: str, results: _Results, now: float) -> bool:
-        """Eject a target, longer each time."""
+        """Eject a target, for a longer time with each consecutive ejection."""
         if now < results.ejected_until:
-            return False  # Answers to requests sent before the ejection.
+            return False  # The request was sent before the ejection.
         results.failures = 0.0
         results.samples = 0
         results.ejected_until = now + min(EJECT_LIMIT_S, EJECT_S * 2**results.ejections)
@@ -139,10 +139,10 @@
         return True
 
     def add_shed(self, target: str, now: float) -> None:
-        """Count a request that a full target turned away."""
+        """Record that a full target refused a request, and pause sending to it."""
         results = self._results.setdefault(target, _Results())
         if now < results.ejected_until:
-            return  # Answers to requests sent before the pause.
+            return  # The request was sent before the pause.
         pause_s = min(SHED_PAUSE_LIMIT_S, SHED_PAUSE_S * 2**results.sheds)
         if pause_s < SHED_PAUSE_LIMIT_S:
             results.sheds += 1
@@ -150,23 +150,23 @@
         self._ejected[target] = results.ejected_until
 
     def is_ejected(self, target: str, now: float) -> bool:
-        """Check whether a target is left alone for now."""
+        """Check whether a target is ejected, or paused because it was full."""
         results = self._results.get(target)
         return results is not None and now < results.ejected_until
 
     def list_ejected(self, now: float) -> Collection[str]:
-        """List the targets that are left alone for now."""
+        """List the targets that are ejected, or paused because they were full."""
         over = [target for target, until in self._ejected.items() if until <= now]
         for target in over:
             del self._ejected[target]
         return self._ejected.keys()
 
     def is_on_trial(self, target: str) -> bool:
-        """Check whether a target was ejected and has not shown since that it is well."""
+        """Check whether a target was ejected and had no successful answer in time since."""
         results = self._results.get(target)
         return results is not None and results.ejections > 0
 
     def forget(self, target: str) -> None:
-        """Drop what is known of a target that is gone."""
+        """Drop the results of a target that was removed."""
         self._results.pop(target, None)
         self._ejected.pop(target, None)
--- a/halldoor/core/targets/regionflow.py
+++ b/halldoor/core/targets/regionflow.py
@@ -1,8 +1,8 @@
-"""Which regions an entry's requests run in, and when that moves.
+"""Counts of the regions in which an entry's requests run, to report when many move.
 
-A region's requests may move to others only slowly: what moves at once lands on targets that don't
-have the keys at hand, and on the links between regions.  Each entry counts its own part, so that
-its log alone tells when much moved, and why.
+A region's requests may move to other regions only slowly: requests that move all at once load
+targets for which the keys are cold, and the links between regions.  Each entry counts its own
+requests, so that its log shows when many moved, and why.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from typing import NamedTuple
 
 WINDOW_S = 2.0
-"""Length of the windows that are compared, in seconds: that of the operators' bound on moves."""
+"""Length of the compared windows, in seconds: the window of the operators' bound on moves."""
 MOVED_LEAST = 0.15
-"""Least part of the requests that is worth a log line when it moved: the operators' usual bound."""
+"""Smallest part of the requests whose move is reported: the operators' usual bound on moves."""
 REQUESTS_LEAST = 20
-"""Least requests in either window; with fewer, a part says little."""
+"""Fewest requests in either window; with fewer, the part that moved is mostly chance."""
 
 
 class RunReason(StrEnum):
-    """Why a request runs where it runs."""
+    """Why a request runs in its region."""
 
     NEAR = "near"
     FIRST = "the key's first target is far"
@@ -30,16 +30,16 @@
 
 
 class RegionMove(NamedTuple):
-    """What moved between one window and the next.
+    """A move of requests between regions, from one window to the next.
 
     Attributes
     ----------
     part : float
-        Part of the requests that runs in another region than before.
+        Part of the requests that run in another region than before, 0 to 1.
     before, after : dict of str to int
         Requests by region of execution in the two windows.
     reason : RunReason
-        Whose part of the requests changed most.
+        Reason whose part of the requests changed most.
     """
 
     part: float
@@ -57,7 +57,7 @@
         self._last: Counter[tuple[str, RunReason]] = Counter()
 
     def add(self, region: str, reason: RunReason, now: float) -> RegionMove | None:
-        """Count a request; give what moved if it is the first of a new window."""
+        """Count a request; if it is the first of a new window, return the last move, if any."""
         window = int(now / WINDOW_S)
         move = None
         if window != self._window:
@@ -73,7 +73,7 @@
 def find_move(
     before: Counter[tuple[str, RunReason]], after: Counter[tuple[str, RunReason]]
 ) -> RegionMove | None:
-    """Find how much moved between two windows; None where it is little or there are few requests.
+    """Compute the move between two windows; None if it is small or there are few requests.
 
     Parameters
     ----------
@@ -98,7 +98,7 @@
 
 
 def measure_move(before: Counter[str], after: Counter[str]) -> float:
-    """Return the part of the requests that runs in another region than before, 0 to 1."""
+    """Return the part of the requests that run in another region than before, 0 to 1."""
     regions = {*before, *after}
     changes = (
         after[r] / max(1, after.total()) - before[r] / max(1, before.total()) for r in regions
@@ -107,7 +107,7 @@
 
 
 def _sum(counts: Counter[tuple[str, RunReason]], place: int) -> Counter[str]:
-    """Sum counts by one part of their names."""
+    """Sum counts by one item of their (region, reason) keys."""
     summed: Counter[str] = Counter()
     for name, count in counts.items():
         summed[name[place]] += count
--- a/halldoor/core/targets/regionshare.py
+++ b/halldoor/core/targets/regionshare.py
@@ -1,8 +1,8 @@
-"""How many of a region's keys have their first target in the region, and how fast that may change.
+"""The share of a region's keys whose first target is in the region, and how fast it may change.
 
-Load pattern: a region whose targets come back together, or a configuration that changes what is
-asked of them.  Keys that change their region land on targets that don't have them at hand, and on
-the links between regions, so that operators bound how many may do so at a time.
+Load pattern: a region whose targets all come back together, or a configuration that changes the
+load expected of them.  Keys that change their region load targets for which they are cold, and the
+links between regions, so that operators bound how many may move at a time.
 """
 
 from __future__ import annotations
@@ -14,42 +14,45 @@
 from halldoor.core.targets.route import Route
 
 SHARE_STEP = 0.05
-"""Step of the share of keys whose first target stands in the own region."""
+"""Step in which the target value of the share is rounded."""
 SLEW_PART = 1 / 3
-"""Part of what may move at a time that is used; chance moves as much between windows of 250
-requests."""
+"""Part of the bound on moves that is used.  Random variation between windows of 250 requests moves
+about as much."""
 BUCKETS = 100
-"""Parts of the key space in which requests are counted: with some tens of keys, one key each."""
+"""Number of equal parts of the key space in which requests are counted: with some tens of keys, a
+part contains about one key."""
 MEMORY_S = 10.0
-"""Time in which counted requests fade to a third, in seconds: a small entry has a hundred."""
+"""Time in which counted requests decay to a third, in seconds: an entry with few callers gets a
+hundred requests in it."""
 EDGE = 1e-6
-"""Part of a bucket that rounding may come to."""
+"""Tolerance for rounding errors at a bucket's edge, as part of a bucket."""
 DECAY_S = 1.0
-"""Time between two fadings, in seconds."""
+"""Time between two updates of the decay, in seconds."""
 ASSUMED_REQUESTS = 20.0
-"""Requests assumed over the whole key space beside those counted, so that few say little."""
+"""Requests assumed, spread evenly over the key space, beside those counted, so that a few counted
+requests have little weight."""
 
 
 class RegionShares(NamedTuple):
-    """How many of a region's requests its own targets take.
+    """Settings for the share of a region's requests that its own targets get.
 
     Load pattern: a region with a tenth of the targets and a third of the callers, beside regions
-    with targets to spare.  A fixed weight of 6 for the own region gives the first 1.3 times the
-    mean load and sends the others' requests far for nothing.  So the share follows from room: a
-    region's part of the service's slots over its part of the callers.
+    with idle targets.  A fixed weight of 6 for the own region gives the first region 1.3 times the
+    mean load and sends the other regions' requests far without need.  So the share is computed from
+    a region's part of the service's slots, divided by its part of the callers.
 
     Attributes
     ----------
     fill : float
-        Load of the own region's targets that is accepted for being near, in multiples of the mean
-        load, where travelling counts.
+        Load up to which the own region's targets are preferred, in multiples of the mean load, if
+        the travel time to other regions matters.
     near_fill : float
-        The same where a round trip is less than `near_share` of the route's aim.
+        The same if a round trip is less than `near_share` of the route's aim.
     near_share : float
-        Below it, a caller hardly notices where the target is, and what the region can't carry
-        would wait there for nothing.
+        Part of the route's aim.  A caller hardly notices a shorter round trip, and requests beyond
+        the region's capacity would wait there without need.
     most : float
-        Largest share.  The rest keeps targets elsewhere in use, and connections to them open.
+        Largest share.  The remainder keeps targets elsewhere in use, and connections to them open.
     """
 
     fill: float = 1.4
@@ -58,29 +61,29 @@
     most: float = 0.9
 
     def find_fill(self, route: Route, far_s: float | None) -> float:
-        """Find the load that is accepted for being near.
+        """Return the load up to which the own region's targets are preferred.
 
-        It is one of two figures, and the aim stands in the configuration, so that entries whose
-        measured times differ a little still order alike.
+        It is one of two values, chosen by the configured aim, so that entries whose measured times
+        differ a little still compute the same order.
 
         Parameters
         ----------
         far_s : float or None
-            Shortest round trip to another region, in seconds; None where it is not known.
+            Shortest round trip to another region, in seconds; None if unknown.
         """
         is_near = far_s is not None and far_s < self.near_share * route.aim_s
         return self.near_fill if is_near else self.fill
 
 
 def find_own_share(*, room: float, callers: float, fill: float, most: float) -> float:
-    """Find the part of a region's keys whose first target stands in the region.
+    """Compute the part of a region's keys whose first target is in the region.
 
-    It goes in steps, so that a target that joins or leaves moves only its own keys, mostly.
+    It is rounded to steps, so that a target that joins or leaves mostly moves only its own keys.
 
     Parameters
     ----------
-    room, callers : float
-        The region's part of the service's slots, and of the callers.
+    slot_part, caller_part : float
+        The region's part of the service's slots, and of the callers, 0 to 1.
     fill, most : float
         See `RegionShares`.
     """
@@ -96,15 +99,15 @@
 
     @property
     def own_part(self) -> float:
-        """The region's part."""
+        """The own region's part of all slots, 0 to 1."""
         return self.own / max(1, self.own + self.far)
 
 
 class KeyWeights:
-    """Which part of the requests the keys of each part of the key space have.
+    """The part of the requests that falls on each bucket of the key space.
 
-    Load pattern: some tens of keys, each of which is a few percent of a region's requests, so that
-    a twentieth of the key space holds no request or an eighth of them.
+    Load pattern: some tens of keys, each with a few percent of a region's requests, so that a
+    twentieth of the key space may have no requests, or an eighth of them.
     """
 
     def __init__(self) -> None:
@@ -118,7 +121,7 @@
         Parameters
         ----------
         point : float
-            Place of its key in the key space, from 0 to 1.
+            Position of its key in the key space, from 0 to 1.
         """
         if now - self._at >= DECAY_S:
             kept = math.exp((self._at - now) / MEMORY_S)
@@ -129,22 +132,23 @@
         self._total += 1.0
 
     def find(self, bucket: int) -> float:
-        """Return the part of the requests that a part of the key space has; never 0."""
+        """Return the part of the requests that falls on a bucket; it is never 0."""
         count = self._counts[bucket] + ASSUMED_REQUESTS / BUCKETS
         return count / (self._total + ASSUMED_REQUESTS)
 
 
 class OwnShare:
-    """The share of one service, which follows the room at a bounded speed.
+    """The share of one service's keys that stay in the region, which changes at a bounded speed.
 
-    What is lost moves at once: requests can't go on where there is no target.  What is won, or
-    asked for, moves slowly, by the requests that move and not by the number of keys: a region that
-    returns would take most of its requests back at once.
+    After a loss of slots the share changes at once: requests can't stay where there is no target.
+    After added slots or a changed configuration it changes slowly, bounded by the requests that
+    move and not by the number of keys.  Otherwise a region that returns would get most of its
+    requests back at once.
 
     Attributes
     ----------
     weights : KeyWeights
-        Told of each request.
+        Counts of requests over the key space; the caller adds each request.
     """
 
     def __init__(self) -> None:
@@ -156,28 +160,30 @@
 
     @property
     def present(self) -> float:
-        """The present share."""
+        """The current share, 0 to 1."""
         return 0.0 if self._share is None else self._share
 
     @property
     def lag(self) -> float:
-        """Part of what the region should take that it does not take yet, 0 to 1."""
+        """Part of the wanted share that the current share still lacks, 0 to 1."""
         return max(0.0, 1.0 - self.present / self._aim) if self._aim > 0 else 0.0
 
     def follow(self, room: Room, aim: float, now: float, *, max_shift: float) -> float:
-        """Move towards a share; give the present one.
+        """Move the share towards its wanted value, and return it.
 
         Parameters
         ----------
+        slots : RegionSlots
+            Slots of the service's usable targets.
         aim : float
-            What follows from the room and the route's aim; see `find_own_share`.
+            The wanted share; see `find_own_share`.
         max_shift : float
             Part of a region's requests that may change its region from one window to the next.
         """
         if self._share is None:
             self._share = aim
         elif _has_lost(self._room, room):
-            # Only what the loss asks for: a move that is under way goes on as slowly.
+            # Only the loss is applied at once: a slow move in progress continues slowly.
             self._share = min(1.0, max(0.0, self._share + aim - self._aim))
         if self._share != aim:
             allowed = SLEW_PART * max_shift / WINDOW_S * (now - self._at)
@@ -186,11 +192,11 @@
         return self._share
 
     def _move(self, share: float, aim: float, allowed: float) -> float:
-        """Move a share as far as the requests on the way allow."""
+        """Move a share towards the aim until the allowed part of the requests has moved."""
         step = 1 if aim > share else -1
         while share != aim:
             place = share * BUCKETS
-            # An edge may come out a little off, and must not be reached twice.
+            # Rounding may put the share just beside an edge, which must not be processed twice.
             bucket = math.floor(place + EDGE) if step > 0 else math.ceil(place - EDGE) - 1
             edge = (bucket + (step > 0)) / BUCKETS
             end = min(edge, aim) if step > 0 else max(edge, aim)
@@ -203,5 +209,5 @@
 
 
 def _has_lost(before: Room, after: Room) -> bool:
-    """Check whether targets are gone, drain, or stand in an evacuated hall."""
+    """Check whether slots were lost: targets are removed, drain, or are in an evacuated hall."""
     return after.own < before.own or after.far < before.far
--- a/halldoor/core/targets/route.py
+++ b/halldoor/core/targets/route.py
@@ -1,4 +1,4 @@
-"""Routes: which service a request belongs to, and how it may be handled."""
+"""Routes: the service that a request belongs to, and how it may be handled."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestKind(StrEnum):
-    """Whether a request may be run again."""
+    """Whether a request may be run more than once."""
 
     REPEATABLE = "repeatable"
     AT_MOST_ONCE = "at-most-once"
@@ -30,23 +30,23 @@
     Attributes
     ----------
     path_prefix : str
-        Begins and ends with a slash.
+        Prefix of the paths; it begins and ends with a slash.
     parts : tuple of SplitPart
         The services that share the requests; one for a plain route.
     timeout_s : float
         Longest time that a request may be held, in seconds.
     aim_s : float
-        Time within which an answer is of full use to the caller, in seconds.
+        Response time within which an answer is of full use to the caller, in seconds.
     priority : int
-        Rank; 0 is the most urgent.
+        Priority of the requests; 0 is the most urgent.
     max_attempts : int
-        Targets that one request may be sent to.
+        Most targets that one request may be sent to.
     has_affinity : bool
-        Targets that lately saw the same affinity key answer faster.
+        Targets that recently served the same affinity key answer faster.
     home_regions : tuple of str
-        Regions that may serve the route; any where empty.
+        Regions that may serve the route; any region if empty.
     is_public : bool
-        Callers need no key, and their requests belong to no team.
+        Callers need no API key, and their requests belong to no team.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 class TargetService(NamedTuple):
-    """What holds for all targets of a service.
+    """Settings of all targets of a service.
 
     Attributes
     ----------
@@ -73,7 +73,7 @@
     cold_start_s : float
         Time that a target stays cold after a start, in seconds.
     cold_rate_per_s : float
-        Requests a second that a cold target bears.
+        Requests a second that a cold target can handle.
     """
 
     name: str
@@ -84,7 +84,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's request, in bytes, and on its times, in seconds."""
 
     head_bytes: int = 16_384
     body_bytes: int = 67_108_864
@@ -93,12 +93,12 @@
 
 
 class Routing(NamedTuple):
-    """One version of everything that operators set for the request path.
+    """One version of the operators' configuration of the request path.
 
     Attributes
     ----------
     teams : tuple of Team
-        Who may call; anyone where there are none.
+        Teams that may call; if empty, anyone may.
     """
 
     version: int
@@ -109,14 +109,14 @@
 
 
 def check_routing(routing: Routing) -> None:
-    """Check that the parts of a configuration fit together.
+    """Check that the parts of a configuration are valid and consistent.
 
-    A wrong one is refused whole, so that a part of it never takes effect without the rest.
+    An invalid configuration is refused as a whole, so that it never takes effect in part.
 
     Raises
     ------
     ValueError
-        Naming the part that is wrong.
+        If a part is invalid; the message names it.
     """
     for route in routing.routes:
         _check_route(route, routing.services)
@@ -124,7 +124,7 @@
 
 
 def _check_route(route: Route, services: Mapping[str, TargetService]) -> None:
-    """Check one route."""
+    """Check one route's prefix and services; raise ValueError if one is invalid."""
     prefix = route.path_prefix
     if not (prefix.startswith("/") and prefix.endswith("/")):
         raise ValueError(f"route {route.name}: prefix {prefix!r} must begin and end with a slash")
@@ -138,12 +138,12 @@
 
 
 class RouteTable:
-    """Find routes by host name and longest path prefix.
+    """Routes by host name and longest path prefix.
 
     Parameters
     ----------
     routing : Routing
-        The version to serve.
+        The version of the configuration to use.
     """
 
     def __init__(self, routing: Routing) -> None:
@@ -154,7 +154,7 @@
             prefixes[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix of ``path``; None where there is none.
+        """Return the route with the longest prefix of ``path``; None if there is none.
 
         Parameters
         ----------
--- a/halldoor/core/targets/split.py
+++ b/halldoor/core/targets/split.py
@@ -6,17 +6,17 @@
 from halldoor.core.targets.route import Route, SplitPart
 
 DRIFT_LIMIT = 1.5
-"""Requests by which a part may run ahead of its weight before a key leaves its usual part.
+"""Requests by which a part may exceed its weight before a key is sent to another part.
 
-Small, so that a few dozen requests already show the weights; above 1, so that keys mostly stay
-with the part that has seen them.
+Small, so that the shares match the weights after a few dozen requests; above 1, so that keys
+mostly stay with the part that is warm for them.
 """
 
 
 class Splitter:
-    """Share each route's requests between its parts in proportion to the weights.
+    """Splits each route's requests between its parts in proportion to the weights.
 
-    Keys prefer one part, so that targets stay warm; counts keep the proportions exact.
+    Each key prefers one part, so that targets stay warm; counts keep the proportions exact.
     """
 
     def __init__(self) -> None:
@@ -40,13 +40,13 @@
         return chosen
 
     def forget_except(self, routes: tuple[Route, ...]) -> None:
-        """Drop the counts of routes that are gone or have other weights now."""
+        """Drop the counts of routes that were removed or have other weights now."""
         kept = {(route.name, route.parts) for route in routes}
         self._ahead = {key: value for key, value in self._ahead.items() if key in kept}
 
 
 def _prefer(route: Route, key: str, total: float) -> str:
-    """Return the part that a key prefers, in proportion to the weights."""
+    """Return the service that a key prefers; keys are spread in proportion to the weights."""
     point = to_unit(f"{route.name}\0{key}") * total
     for part in route.parts:
         point -= part.weight
