--- a/halldoor/core/targets/__init__.py
+++ b/halldoor/core/targets/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's choice of a target: what is known of targets, and how much they may get."""
+"""The choice of a target for each request: state of the targets, their limits and the routes."""
--- a/halldoor/core/targets/budget.py
+++ b/halldoor/core/targets/budget.py
@@ -1,4 +1,4 @@
-"""Budgets that bound what all entries do together by each bounding its own share."""
+"""Shares of budgets for retries and requests that all entries together must not exceed."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from typing import NamedTuple
 
 BUDGET_MARGIN = 0.8
-"""Part of the budget to use; the rest covers entries that restart and forget their counts."""
+"""Part of the budget to use; the remainder covers entries that restart and lose their counts."""
 
 
 class SlidingCount:
-    """Count events of the last seconds.
+    """Number of events in a sliding window.
 
     Parameters
     ----------
@@ -29,23 +29,23 @@
         self._trim(now)
 
     def count(self, now: float) -> int:
-        """Return the events of the last ``window_s`` seconds."""
+        """Return the number of events in the last ``window_s`` seconds."""
         self._trim(now)
         return len(self._times)
 
     def find_wait(self, now: float) -> float:
-        """Return when the oldest event leaves the window, in seconds; 0 where there is none."""
+        """Return the time until the oldest event leaves the window, in seconds; 0 without any."""
         self._trim(now)
         return self._times[0] + self._window_s - now if self._times else 0.0
 
     def _trim(self, now: float) -> None:
-        """Forget what lies before the window."""
+        """Drop the events before the window."""
         while self._times and self._times[0] <= now - self._window_s:
             self._times.popleft()
 
 
 class RetrySettings(NamedTuple):
-    """The retry budget of all entries together; see `RetryShare`."""
+    """The retry budget of all entries together; for the fields see `RetryShare`."""
 
     ratio: float = 0.2
     slack: float = 64.0
@@ -55,15 +55,15 @@
 class RetryShare:
     """One entry's share of the retries that a service may get from all entries.
 
-    In any window, all entries together send at most ``ratio`` times the requests plus
-    ``slack`` retries: each keeps to its own requests and to its part of the slack.
+    In any window, all entries together send at most ``ratio`` times the requests plus ``slack``
+    retries: each entry may use ``ratio`` times its own requests plus an equal part of the slack.
 
     Parameters
     ----------
     ratio : float
         Retries per request.
     slack : float
-        Retries that all entries together may make beyond that, per window.
+        Further retries per window that all entries together may send.
     window_s : float
         Length of the sliding window, in seconds.
     """
@@ -79,7 +79,7 @@
         self._requests.add(now)
 
     def take_retry(self, now: float, *, entries: int) -> bool:
-        """Take one retry; False where this entry's share is used up.
+        """Count one retry against this entry's share; False if the share is used up.
 
         Parameters
         ----------
@@ -104,8 +104,8 @@
     window_s : float
         Length of the sliding window, in seconds.
     began_at : float, optional
-        Start of this entry.  Nothing is sent in the window that follows: what it sent in a life
-        before is not known.
+        Start of this entry.  Nothing is sent in the first window, since the entry doesn't know
+        what it sent before a restart.
     """
 
     def __init__(self, *, window_s: float, began_at: float = -math.inf) -> None:
@@ -121,7 +121,7 @@
         sent.add(now)
 
     def take(self, target: str, now: float, *, limit: int, entries: int, rank: int) -> bool:
-        """Take one request; False where this entry may not send to the target now.
+        """Count one request to a target; False if this entry may not send to it now.
 
         The parameters are those of `has_room`.
         """
@@ -131,7 +131,7 @@
         return True
 
     def has_room(self, target: str, now: float, *, limit: int, entries: int, rank: int) -> bool:
-        """Whether this entry may send to the target now.
+        """Check whether this entry may send a target a request now.
 
         Parameters
         ----------
@@ -140,7 +140,7 @@
         entries : int
             Entries that share it.
         rank : int
-            Place of this entry in the target's order of entries, from 0.
+            Rank of this entry in the target's order of entries, from 0.
         """
         if rank >= limit or now < self._opens_at:
             return False
@@ -148,10 +148,10 @@
         return sent is None or sent.count(now) < max(1, limit // max(1, entries))
 
     def find_wait(self, target: str, now: float) -> float:
-        """Return when the oldest request in the window leaves it, in seconds; 0 without any."""
+        """Return the time until the oldest request leaves the window, in seconds; 0 without any."""
         sent = self._sent.get(target)
         return sent.find_wait(now) if sent is not None else 0.0
 
     def forget(self, target: str) -> None:
-        """Drop the counts of a target that is gone."""
+        """Drop the counts of a target that was removed."""
         self._sent.pop(target, None)
--- a/halldoor/core/targets/catalog.py
+++ b/halldoor/core/targets/catalog.py
@@ -1,7 +1,7 @@
-"""What an entry knows of targets, evacuated halls and other entries.
+"""An entry's view of the targets, evacuated halls, other entries and the configuration.
 
-The store's records are applied here one change at a time.  Nothing here reads a clock: the
-time of the steady clock, in seconds, comes in as ``now``.
+The store's records are applied one change at a time.  Nothing here reads a clock: the time of the
+steady clock, in seconds, is passed in as ``now``.
 """
 
 from __future__ import annotations
@@ -35,31 +35,32 @@
 from halldoor.core.targets.withdrawal import HOLDS_MOST, StoreView, WithdrawalTable
 
 LEFT_KEPT = 2000
-"""Targets that left and are remembered, in case an older copy of the store names them again."""
+"""Removed targets that are remembered, in case an older copy of the store names them again."""
 
 
 class Catalog:
-    """The believed state of the whole system.
+    """This entry's view of the state of the whole system.
 
     Parameters
     ----------
     timings : CatalogTimings
-        How long beliefs last.
+        How long records are kept when the store can't confirm them.
 
     Attributes
     ----------
     sharers : SharerTable
         Entries among which rates are divided.
     version, members_version : int
-        Rise whenever something changes that choices depend on, and whenever entries do.
+        Incremented with each change that affects choices, and with each change of entries.
     lapsed : dict of str to Lapse
-        Targets whose record lapsed while the store was away, and may come back.
+        Targets whose record expired while the store was unavailable, and may be written again.
     contact : StoreContact
-        When the store answered.
-    fresh_at : float
-        When the store last answered, in seconds of the steady clock.
+        Times at which the store answered.
+    store_contact_at : float
+        Time of the last contact with the store, direct or through another entry, in seconds of the
+        steady clock.
     relayed_at : float
-        When an entry in contact with the store last passed changes on.
+        Time at which an entry in contact with the store last passed on changes.
     """
 
     def __init__(self, timings: CatalogTimings) -> None:
@@ -86,7 +87,7 @@
         self.relayed_at = -math.inf
 
     def apply(self, change: Change, now: float) -> bool:
-        """Apply one change; False where it changes nothing."""
+        """Apply one change; return whether it changed anything."""
         self._postponed.drop_for(change)
         match change:
             case RoutingSeen(routing):
@@ -111,18 +112,19 @@
     def load(
         self, changes: Sequence[Change], now: float, *, is_restored: bool = False
     ) -> list[Change]:
-        """Apply a whole reading of the store, in which what is not named is gone.
+        """Apply a full read of the store and remove everything that it doesn't contain.
 
         Parameters
         ----------
         is_restored : bool, optional
-            The store came back from an older copy.  What is not in it holds until its writer had
-            time to write it again, and targets that left since the copy are not taken back.
+            The store was restored from an older copy.  Records that it lacks are kept until their
+            writers had time to write them again, and targets that left after the copy was made
+            are not added again.
 
         Returns
         -------
         list of Change
-            What changed, the removals included.
+            The changes that had an effect, removals included.
         """
         if is_restored:
             changes = [c for c in changes if not self._has_left(c)]
@@ -139,32 +141,32 @@
         return [c for c in [*changes, *removals] if self.apply(c, now)]
 
     def _has_left(self, change: Change) -> bool:
-        """Check whether a record is of a start of a target that is known to have left."""
+        """Check whether a record is of a start of a target that was removed before."""
         if not isinstance(change, TargetSeen):
             return False
         record = change.record
         return self._left.get(record.incarnation) == record.started_ms
 
     def apply_postponed(self, now: float) -> list[Change]:
-        """Apply removals whose time is over, unless what they remove was written again."""
+        """Apply the postponed removals that are due, except of records that were written again."""
         return [change for change in self._postponed.take_due(now) if self.apply(change, now)]
 
     @property
     def configuration_version(self) -> int:
-        """Version of the configuration in force; 0 where there is none."""
+        """Version of the configuration in force; 0 if there is none."""
         return self.routing.version if self.routing is not None else 0
 
     def note_contact(self, heard_at: float) -> None:
-        """Record the time of the last contact with the store, direct or by another entry."""
+        """Record a contact with the store, direct or through another entry."""
         self.fresh_at = max(self.fresh_at, heard_at)
 
     def note_relay(self, now: float) -> None:
-        """Record that an entry in contact with the store passed changes on."""
+        """Record that an entry in contact with the store passed on changes."""
         self.relayed_at = now
 
     @property
     def informed_at(self) -> float:
-        """When news of the store last came in, from itself or by another entry."""
+        """Time of the last answer or change, from the store itself or from another entry."""
         return max(self.fresh_at, self.relayed_at)
 
     def note_answer(self, now: float) -> None:
@@ -173,7 +175,7 @@
         self.contact.note_answer(now)
 
     def _find_lapse(self, now: float) -> Lapse | None:
-        """Return until when a target is kept whose record is gone; None where that is meant."""
+        """Return how long to keep a target whose record an outage let expire; None to drop it."""
         absence, settle_s = self.contact.find_absence(now), self.timings.settle_s
         if now <= self._restored_at:
             return Lapse(now + settle_s, absence.length_s)
@@ -181,7 +183,7 @@
         return lapse if lapse.away_s >= self.timings.lapse_s and now < lapse.until else None
 
     def drop_lapsed(self, now: float) -> list[str]:
-        """Drop targets whose record lapsed and did not come back in time."""
+        """Drop the targets whose expired record was not written again in time; return them."""
         dropped = [name for name, lapse in self.lapsed.items() if now >= lapse.until]
         for name in dropped:
             self._forget(name)
@@ -190,24 +192,24 @@
         return dropped
 
     def take_restart(self, incarnation: str) -> bool:
-        """Check, once for each, whether a known name has started again: nothing of before holds."""
+        """Check, once per start, whether a known target started again: its old data is void."""
         if incarnation not in self._restarted:
             return False
         self._restarted.discard(incarnation)
         return True
 
     def find_target(self, incarnation: str) -> Target | None:
-        """Find a target by incarnation."""
+        """Return the target with an incarnation; None if it is unknown."""
         return self._targets.get(incarnation)
 
     def drop_target(self, incarnation: str) -> None:
-        """Forget a target whose address answered for another incarnation."""
+        """Drop a target whose address answered for another incarnation."""
         if incarnation in self._targets:
             self._forget(incarnation)
             self._touch()
 
     def _forget(self, incarnation: str) -> None:
-        """Drop a target."""
+        """Drop a target, and remember its start as removed."""
         self._left[incarnation] = self._targets.pop(incarnation).record.started_ms
         if len(self._left) > LEFT_KEPT:
             self._left.popitem(last=False)
@@ -218,7 +220,7 @@
         return self._targets.values()
 
     def list_usable(self, service: str) -> list[Target]:
-        """List the targets of a service that neither drain nor stand in an evacuated hall."""
+        """List the targets of a service that neither drain nor are in an evacuated hall."""
         if self._by_service is None:
             self._by_service = {}
             for target in self._targets.values():
@@ -232,18 +234,18 @@
         return max(1, len(self.members))
 
     def count_sharers(self, now: float) -> int:
-        """Count the entries that may share a budget."""
+        """Return the number of entries to divide a rate by."""
         return self.sharers.count(now, young_s=self.timings.young_s)
 
     def _touch(self) -> None:
-        """Record that something changed which choices depend on."""
+        """Increment the version and drop the cached lists, after a change that affects choices."""
         self.version += 1
         self._by_service = None
 
     def _adopt(self, routing: Routing) -> bool:
-        """Apply a configuration if it is newer; an older one is never taken back.
+        """Apply a configuration unless it is older than the known one, or equal to it.
 
-        One of the same version replaces what a store that was restored has lost.
+        A different one of the same version is applied: a restored store may have lost the other.
         """
         known = self.routing
         if known is not None and (routing.version < known.version or routing == known):
@@ -253,11 +255,11 @@
         return True
 
     def _see_target(self, record: TargetRecord, now: float) -> bool:
-        """Apply a target's record."""
+        """Apply a target's record; return whether it changed anything."""
         cold_until = now + record.cold_left_s if record.cold_left_s > 0 else -math.inf
         target = self._targets.get(record.incarnation)
         if target is not None and record.started_ms < target.record.started_ms:
-            return False  # Written before the start that is known.
+            return False  # The record is of an earlier start.
         if target is None or record.started_ms > target.record.started_ms > 0:
             if target is not None:
                 self._restarted.add(record.incarnation)
@@ -269,10 +271,10 @@
             return True
         self.lapsed.pop(target.name, None)
         is_changed = record._replace(cold_left_s=0.0) != target.record._replace(cold_left_s=0.0)
-        # A record never ends a cold time early: the target may have written it before.
+        # A record never shortens the cold time: the target may have written it before turning cold.
         was_cold = target.is_cold(now)
         target.cold_until = max(target.cold_until, cold_until)
-        # "Draining" is believed until the target starts again: it never comes back from it.
+        # A draining target drains until it starts again: it never cancels its end.
         is_draining = record.is_draining or target.record.is_draining
         if is_draining and not target.is_draining:
             self._newly_withdrawn.append(target.start)
@@ -283,9 +285,9 @@
         return is_changed or is_cold != was_cold
 
     def apply_cold_notice(self, notice: ColdNotice, now: float) -> bool:
-        """Apply a target's statement on whether it is cold; False where it changes nothing.
+        """Apply a target's statement on whether it is cold; return whether it became cold by it.
 
-        It never ends a cold time early: it may be older than the record.
+        The statement never shortens the cold time: it may be older than the record.
         """
         target = self._targets.get(notice.target)
         if target is None or notice.started_ms != target.record.started_ms:
@@ -300,7 +302,7 @@
         return not was_cold
 
     def add_leaving(self, incarnation: str, started_ms: int, *, until: float = math.inf) -> bool:
-        """Apply a target's statement that it leaves; False where it changes nothing."""
+        """Apply a target's statement that it is leaving; return whether it changed anything."""
         self._leaving.add(incarnation, started_ms, until=until)
         target = self._targets.get(incarnation)
         if target is None or target.record.started_ms != started_ms or target.says_leaving:
@@ -310,7 +312,7 @@
         return True
 
     def expire_leaving(self, now: float) -> list[str]:
-        """Drop what others said of targets that leave, once it is too old; return the targets."""
+        """Drop expired statements that targets are leaving; return the names of those targets."""
         expired = self._leaving.expire(now)
         for target in filter(None, map(self._targets.get, expired)):
             target.says_leaving = self._leaving.has(target.name, target.record.started_ms)
@@ -318,7 +320,7 @@
         return expired
 
     def take_withdrawn(self) -> list[TargetStart]:
-        """Return, once, the targets that the store's records withdrew, and no notice before."""
+        """Return, once, the targets withdrawn by the store's records and by no earlier notice."""
         withdrawn, self._newly_withdrawn = self._newly_withdrawn, []
         return withdrawn
 
@@ -332,7 +334,7 @@
         """
         target = self._targets.get(start.target)
         if target is None or target.start != start:
-            # Its record may come later than the notice.
+            # The target's record may arrive later than the notice.
             if len(self._withdrawals) < HOLDS_MOST:
                 self._withdrawals.add(start, view, until=until)
             return False
@@ -344,12 +346,14 @@
         return True
 
     def release_withdrawn(self, own: StoreView, now: float) -> list[TargetStart]:
-        """Decide by the own view of the store again where it includes what notices said.
+        """Drop the notices that expired, or whose revision this entry's view has reached.
+
+        From then on the view of this entry decides on those targets.
 
         Returns
         -------
         list of TargetStart
-            Targets that are usable after all.
+            Targets that became usable again.
         """
         usable = []
         for start in self._withdrawals.release(own, now):
@@ -363,18 +367,18 @@
         return usable
 
     def count_withdrawals(self) -> int:
-        """Count the notices that hold."""
+        """Count the notices in force."""
         return len(self._withdrawals)
 
     def can_send(self, incarnation: str) -> bool:
-        """Check whether a request may still be sent to a target that was chosen."""
+        """Check whether a request may still be sent to a target that was chosen for it."""
         target = self._targets.get(incarnation)
         if target is None or target.is_draining:
             return False
         return target.record.hall not in self.evacuated
 
     def _lose_target(self, incarnation: str, now: float) -> bool:
-        """Apply the removal of a target's record."""
+        """Apply the removal of a target's record; return whether it changed anything."""
         target = self._targets.get(incarnation)
         if target is None:
             return False
@@ -392,7 +396,7 @@
         return True
 
     def _set_evacuation(self, hall: str, is_evacuated: bool, now: float) -> bool:
-        """Apply an evacuation, or its end."""
+        """Apply the start or end of a hall's evacuation; return whether it changed anything."""
         if is_evacuated == (hall in self.evacuated):
             return False
         if is_evacuated:
@@ -404,9 +408,9 @@
         return True
 
     def _assume_cold(self, hall: str, now: float) -> None:
-        """Treat a hall's targets as cold: they may have turned so without a word yet.
+        """Treat a hall's targets as cold, since they may have turned cold without a record of it.
 
-        Those that turned cold at the end at the latest are warm after the time of a cold start.
+        One that turned cold by the end of the evacuation is warm after a cold start's duration.
         """
         services = self.routing.services if self.routing is not None else {}
         for target in self._targets.values():
@@ -417,7 +421,7 @@
             target.cold_until = max(target.cold_until, now + cold_s)
 
     def _see_member(self, member: MemberRecord) -> bool:
-        """Apply an entry's record."""
+        """Apply an entry's record; return whether it changed anything."""
         if self.members.get(member.name) == member:
             return False
         self.members[member.name] = member
@@ -426,7 +430,7 @@
         return True
 
     def _lose_member(self, name: str, now: float) -> bool:
-        """Apply the removal of an entry's record."""
+        """Apply the removal of an entry's record; return whether the entry was known."""
         if self.members.pop(name, None) is None:
             return False
         self.sharers.remove(name, now)
--- a/halldoor/core/targets/changes.py
+++ b/halldoor/core/targets/changes.py
@@ -1,4 +1,4 @@
-"""Records of the store as the request path knows them, and how they change."""
+"""Records of the store as the request path uses them, and changes of them."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class TargetRecord(NamedTuple):
-    """What a target says of itself in the store.
+    """A target's record in the store, written by the target.
 
     Attributes
     ----------
     incarnation : str
-        Name of the target; it stands for nothing else, ever.
+        Name of the target; it is never used for another one.
     slots : int
-        Requests that it works on at a time.
+        Requests that the target can run at a time.
     is_draining : bool
-        It is about to end and takes no new work.
+        The target is about to stop and takes no new work.
     cold_left_s : float
-        How much longer it is cold, in seconds.
+        Time for which the target is still cold, in seconds.
     started_ms : int
-        When it started, in Unix milliseconds by its own clock; 0 where it does not say.  A target
-        that starts again may keep its name.
+        Start of the target, in Unix milliseconds by its own clock; 0 if it is not stated.  A
+        target that starts again may keep its name.
     """
 
     incarnation: str
@@ -45,7 +45,7 @@
     target : str
         Name of its incarnation.
     started_ms : int
-        When it started; see `TargetRecord`.
+        Time of the start; see `TargetRecord`.
     """
 
     target: str
@@ -53,12 +53,14 @@
 
 
 class MemberRecord(NamedTuple):
-    """An entry that serves callers, as it registered itself in the store.
+    """An entry's record in the store, written by the entry.
 
     Attributes
     ----------
+    front : Address
+        Address at which it serves callers.
     relay : Address or None
-        Where it passes changes of the store on to other entries; None where it does not.
+        Address at which it relays changes of the store to other entries; None if it doesn't.
     """
 
     name: str
@@ -87,7 +89,7 @@
 
 
 class EvacuationSet(NamedTuple):
-    """An operator asked that a hall's targets get nothing, or took that back."""
+    """An operator started or ended the evacuation of a hall, whose targets get no requests."""
 
     hall: str
     is_evacuated: bool
@@ -112,7 +114,7 @@
 
 
 class EvidenceGone(NamedTuple):
-    """Evidence against a request is no longer recorded."""
+    """The record of evidence against a request was removed."""
 
     digest: str
 
@@ -130,7 +132,7 @@
 
 
 def is_target_withdrawal(change: Change) -> bool:
-    """Check whether a change tells that a target drains or is gone."""
+    """Check whether a change says that a target drains or was removed."""
     match change:
         case TargetSeen(record):
             return record.is_draining
--- a/halldoor/core/targets/contact.py
+++ b/halldoor/core/targets/contact.py
@@ -1,8 +1,8 @@
-"""When the store answered, and for how long it answered nobody.
+"""Detection of outages of the store, from the times of its answers to any entry.
 
-A record whose writer lives can only run out while the store is away.  A cut watch, a lost history
-or a call that was turned away are no sign of that: any answer to any call is proof that the store
-is there, also one to another entry.
+The record of a live target can only expire during an outage of the store.  A cut watch, a lost
+history or a refused call are no sign of an outage: any answer to any call, also to another entry's
+call, proves that the store is available.
 """
 
 from __future__ import annotations
@@ -11,23 +11,24 @@
 from typing import NamedTuple
 
 STALL_S = 1.0
-"""Time between two ticks after which the process stood still meanwhile, in seconds."""
+"""Time between two ticks from which the process counts as suspended meanwhile, in seconds."""
 SILENCE_S = 2.0
-"""Time without any answer after which the store may be away, in seconds: several calls failed."""
+"""Time without any answer from which the store counts as unavailable, in seconds: several calls
+have failed by then."""
 STEADY_S = 1.5
-"""Time in which every live target writes its record once, in seconds; a shorter return of the
-store between two silences does not end its absence."""
+"""Time in which every live target writes its record once, in seconds.  Two outages with a shorter
+time between them count as one."""
 LIFE_S = 4.5
-"""Time after its last write in which a record runs out, in seconds."""
+"""Time after its last write in which a record expires, in seconds."""
 
 
 class Absence(NamedTuple):
-    """A time in which the store gave no answer, in seconds of the steady clock.
+    """An outage: a time in which the store didn't answer, in seconds of the steady clock.
 
     Attributes
     ----------
-    ended_at : float
-        When the first answer after it came in.
+    began_at, ended_at : float
+        Times of the last answer before it, and of the first answer after it.
     """
 
     began_at: float
@@ -35,19 +36,19 @@
 
     @property
     def length_s(self) -> float:
-        """Length in seconds."""
+        """Length of the outage, in seconds."""
         return self.ended_at - self.began_at
 
 
 class Lapse(NamedTuple):
-    """A record that lapsed while the store was away.
+    """The expiry of a target's record during an outage of the store.
 
     Attributes
     ----------
     until : float
-        When the target is dropped unless its record is back.
+        Time at which the target is dropped unless its record was written again.
     away_s : float
-        How long the store was away, in seconds.
+        Length of the outage, in seconds.
     """
 
     until: float
@@ -55,21 +56,21 @@
 
 
 class ContactSpan(NamedTuple):
-    """A time in which the store answered again and again, in seconds of the steady clock."""
+    """A time in which the store answered without an outage, in seconds of the steady clock."""
 
     since: float
     until: float
 
 
 class ContactReport(NamedTuple):
-    """What an entry tells others of its contact with the store.
+    """An entry's contact with the store, as it reports it to other entries.
 
     Attributes
     ----------
     since_s : float
-        Time since its contact began, in seconds.
+        Time since its uninterrupted contact began, in seconds.
     heard_s : float
-        Time since the last answer, in seconds.
+        Time since the store's last answer, in seconds.
     """
 
     since_s: float
@@ -77,12 +78,12 @@
 
 
 class StoreContact:
-    """The answers of the store, to this entry and, as they report, to others.
+    """The store's contact with this entry and, as they report it, with others.
 
     Attributes
     ----------
     absence : Absence or None
-        The store's last absence.
+        The store's last outage.
     """
 
     def __init__(self) -> None:
@@ -95,7 +96,10 @@
         self._since: float | None = None
 
     def tick(self, now: float) -> None:
-        """Record that this process runs: while it stands still it hears no answer, nor asks."""
+        """Record that this process runs, to detect times in which it was suspended.
+
+        While it is suspended it makes no calls and gets no answers, so that time is no outage.
+        """
         stood_s = now - self._ticked_at if self._ticked_at is not None else 0.0
         self._ticked_at = now
         if stood_s > STALL_S and self._silent_from is not None:
@@ -108,7 +112,7 @@
         self.note_span(ContactSpan(now, now), now)
 
     def note_span(self, span: ContactSpan, now: float) -> None:
-        """Record that the store answered this entry, or another one as that reports."""
+        """Record a time in which the store answered this entry, or an entry that reported it."""
         self.tick(now)
         if span.since > span.until:
             return
@@ -122,7 +126,7 @@
             self._since = span.since
 
     def _end_silence(self, began_at: float, ended_at: float) -> None:
-        """Take a time without an answer for an absence, where it is long enough."""
+        """Record a time without answers as an outage, if it is long enough."""
         if ended_at - began_at < SILENCE_S:
             return
         before = self.absence
@@ -132,7 +136,7 @@
         self._since = ended_at
 
     def _shorten_absence(self, span: ContactSpan) -> None:
-        """Take the end of an absence back: another entry was in contact before this one was."""
+        """Move the end of the last outage back if another entry was in contact before."""
         absence = self.absence
         if absence is None or span.until < absence.ended_at - SILENCE_S:
             return
@@ -141,13 +145,13 @@
         )
 
     def note_known(self, until: float) -> None:
-        """Record that every change up to a moment has been applied."""
+        """Record the time up to which every change has been applied."""
         self._known_until = max(self._known_until, until)
 
     def find_absence(self, now: float) -> Absence:
-        """Return the absence in which a removal may have come that is news; empty if in none.
+        """Return the outage in which a removal applied now may have happened; empty if in none.
 
-        Another entry's changes may come in before anything says when the store answered.
+        Another entry's changes may arrive before its report of when the store answered.
         """
         silent_from = self._silent_from if self._silent_from is not None else now
         began_at = max(silent_from, self._known_until)
@@ -158,14 +162,14 @@
         return self.absence
 
     def can_tell_removals(self, now: float) -> bool:
-        """Check whether others may rely on this entry to tell a removal from a lapse.
+        """Check whether this entry can distinguish a removed record from an expired one.
 
-        While the process stood still the store may have been away for any time.
+        While the process was suspended, the store may have been unavailable for any time.
         """
         return now - self._stood_until >= LIFE_S
 
     def get_report(self, now: float) -> ContactReport | None:
-        """Return what to tell other entries; None where the store was not heard."""
+        """Return the report for other entries; None if the store never answered."""
         if self._since is None:
             return None
         return ContactReport(now - self._since, now - self._heard_at)
@@ -174,14 +178,14 @@
 def date_report(
     report: ContactReport, *, sent_at: float, held_s: float, received_at: float
 ) -> ContactSpan:
-    """Return the time for which an entry's report proves contact.
+    """Return the time span for which an entry's report proves contact with the store.
 
-    The time on the way only shortens it.
+    Message delays only shorten it.
 
     Parameters
     ----------
     sent_at, received_at : float
-        When the poll was sent and its answer came in.
+        Times at which the poll was sent and its answer arrived.
     held_s : float
         Time for which the other entry held the poll before it answered, in seconds.
     """
--- a/halldoor/core/targets/leaving.py
+++ b/halldoor/core/targets/leaving.py
@@ -1,8 +1,8 @@
-"""Targets that say in their answers that they are about to end.
+"""Targets that state in their answers that they are leaving: about to stop, taking no new work.
 
-Load pattern: a planned end while the store is away, so that no record says so.  An answer is the
-newest proof there is.  A target does not come back from it under its incarnation, whatever an
-older record says.
+Load pattern: a planned stop during an outage of the store, so that no record shows it.  An answer
+is then the newest information.  A target that leaves doesn't return under its incarnation, even if
+an older record still shows it as serving.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from typing import NamedTuple
 
 HEARSAY_S = 30.0
-"""Time for which another entry's word holds, in seconds.  Then a request of one's own shows whether
-it is true: a target that was named by mistake is not lost."""
+"""Time for which another entry's notice is believed, in seconds.  After it, a request of this entry
+shows whether the target leaves, so that a target named by mistake is used again."""
 KEPT = 2000
-"""Targets that are remembered, in case their record goes and comes back."""
+"""Starts of targets that are remembered, in case their record is removed and written again."""
 
 
 class LeavingNotice(NamedTuple):
-    """A target's own statement that it leaves, as an entry read it.
+    """A target's statement that it is leaving, as an entry received it.
 
     Attributes
     ----------
@@ -28,7 +28,7 @@
     started_ms : int
         Start of the target that the statement is about; see `TargetRecord`.
     age_s : float
-        Time since its answer arrived, in seconds.
+        Time since the target's answer arrived, in seconds.
     """
 
     target: str
@@ -37,25 +37,25 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether the age is one that an entry may send."""
+        """Whether the age is finite and not negative."""
         return math.isfinite(self.age_s) and self.age_s >= 0
 
 
 class LeavingTable:
-    """Which targets said that they leave, and until when that is believed."""
+    """Starts of targets that are leaving, and until when that is believed."""
 
     def __init__(self) -> None:
         self._until: OrderedDict[tuple[str, int], float] = OrderedDict()
 
     def add(self, target: str, started_ms: int, *, until: float = math.inf) -> bool:
-        """Add a target; False where it was known.
+        """Add a target that is leaving; return whether it is new.
 
         Parameters
         ----------
         started_ms : int
-            The start that the statement is about.
+            The start of the target that the statement is about.
         until : float, optional
-            When it is no longer believed; without it, it is for good.
+            Time at which the statement expires; by default it never does.
         """
         start = (target, started_ms)
         is_news = start not in self._until
@@ -65,11 +65,11 @@
         return is_news
 
     def has(self, target: str, started_ms: int) -> bool:
-        """Whether this start of a target said that it leaves."""
+        """Check whether a start of a target is leaving."""
         return (target, started_ms) in self._until
 
     def expire(self, now: float) -> list[str]:
-        """Drop what is no longer believed; return the targets."""
+        """Drop expired statements; return the names of their targets."""
         expired = [start for start, until in self._until.items() if until <= now]
         for start in expired:
             del self._until[start]
--- a/halldoor/core/targets/limits.py
+++ b/halldoor/core/targets/limits.py
@@ -1,8 +1,8 @@
-"""Limits that targets name: the requests a second that one takes from all entries together.
+"""Limits that targets state: the requests a second that one accepts from all entries together.
 
-Load pattern: a target in need that everybody keeps sending to.  A limit holds for as long as the
-target's answers name it.  Entries notify each other, so that also those keep to it, and learn of
-its end, that get no answers from the target themselves.
+Load pattern: an overloaded target to which all entries keep sending.  A limit is in force as long
+as the target's answers state it.  Entries notify each other of limits and of their ends, so that
+entries without answers from the target observe them, too.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 from halldoor.core.targets.statement import SEPARATOR
 
 RETURN_S = 1.0
-"""Time in which a target's rate doubles after its limit ended, in seconds."""
+"""Time in which a target's allowed rate doubles after its limit ended, in seconds."""
 RETURN_DOUBLINGS = 4
-"""Doublings after which the rate of a target whose limit ended is no longer bounded."""
+"""Doublings after the end of a limit until the target's rate is no longer bounded."""
 RETURN_FROM_PER_S = 1.0
-"""Lowest rate from which it returns, in requests a second."""
+"""Lowest rate at which the ramp-up after a limit starts, in requests a second."""
 PROBE_S = 5.0
-"""Shortest time without news of a limit after which an entry sends one request to see whether it
-still holds, in seconds."""
+"""Shortest time without a statement of a limit after which an entry sends a probe, a request beyond
+its share that shows whether the limit is still in force, in seconds."""
 PROBE_LEAST_PER_S = 0.25
-"""Rate of such requests that a target bears from all entries together, at any limit."""
+"""Rate of probes a second that a target can bear from all entries together, at any limit."""
 PROBE_SPREAD = 0.5
-"""Part by which the time to such a request differs between entries."""
+"""Largest part by which an entry's time to its first probe is prolonged, to spread the probes."""
 
 
 class LimitNotice(NamedTuple):
-    """What a target said of its limit, as another entry read it.
+    """A target's statement on its limit, as another entry received it.
 
     Attributes
     ----------
     target : str
         Name of the target's incarnation.
     started_ms : int
-        Start of the target that it is about; see `TargetRecord`.
+        Start of the target that the statement is about; see `TargetRecord`.
     limit_per_s : float or None
-        Requests a second from all entries together; None where it named none.
+        Requests a second from all entries together; None if the target stated no limit.
     age_s : float
-        Time since its answer arrived, in seconds.
+        Time since the target's answer arrived, in seconds.
     """
 
     target: str
@@ -50,22 +50,22 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether the figures are ones that an entry may send."""
+        """Whether limit and age are in their ranges."""
         has_age = math.isfinite(self.age_s) and self.age_s >= 0
         return has_age and (self.limit_per_s is None or _is_limit(self.limit_per_s))
 
 
 class _State(NamedTuple):
-    """What is known of one target's limit.
+    """One target's limit, or the ramp-up after it.
 
     Attributes
     ----------
-    said_at : float
-        When the target's newest known answer arrived at any entry.
+    stated_at : float
+        Time at which the target's newest known answer arrived at any entry.
     ended_at : float or None
-        When it no longer named the limit; None while it does.
+        Time of the first answer without the limit; None while the limit is in force.
     probe_at : float
-        When this entry may send one request beyond its share.
+        Time from which this entry may send one request beyond its share.
     """
 
     limit_per_s: float
@@ -75,12 +75,12 @@
 
 
 class LimitTable:
-    """The limits that targets name.
+    """The limits that targets state.
 
     Parameters
     ----------
     own_name : str
-        Name of this entry, by which its probes come at other times than others'.
+        Name of this entry, so that its probes differ in time from those of other entries.
     """
 
     def __init__(self, own_name: str) -> None:
@@ -88,14 +88,14 @@
         self._states: dict[str, _State] = {}
 
     def add(self, target: str, limit_per_s: float | None, said_at: float, *, entries: int) -> bool:
-        """Apply what a target said; False where it changes nothing but the time.
+        """Apply a target's statement; return whether it changed the limit.
 
         Parameters
         ----------
         limit_per_s : float or None
-            The limit that its answer named; None where it named none.
-        said_at : float
-            When the answer arrived; older than what is known, it is passed over.
+            The limit that its answer stated; None if it stated none.
+        stated_at : float
+            Time at which the answer arrived; one older than the newest known answer is ignored.
         entries : int
             Entries that share the limit.
         """
@@ -111,14 +111,14 @@
         return is_news
 
     def _end(self, target: str, known: _State | None, said_at: float) -> bool:
-        """Begin to let the rate of a target return."""
+        """Start the ramp-up of a target's rate; False if there was no limit in force."""
         if known is None or known.ended_at is not None:
             return False
         self._states[target] = known._replace(said_at=said_at, ended_at=said_at)
         return True
 
     def get_limit(self, target: str, now: float) -> float | None:
-        """Return the requests a second that all entries may send; None where nothing bounds it."""
+        """Return the requests a second that all entries may send together; None if unbounded."""
         state = self._states.get(target)
         if state is None:
             return None
@@ -131,32 +131,32 @@
         return float(max(state.limit_per_s, RETURN_FROM_PER_S) * 2**doublings)
 
     def may_probe(self, target: str, now: float) -> bool:
-        """Whether this entry may send one request to see if the limit still holds."""
+        """Check whether this entry may send a request that probes if the limit is in force."""
         state = self._states.get(target)
         return state is not None and state.ended_at is None and now >= state.probe_at
 
     def note_probe(self, target: str, now: float, *, entries: int) -> None:
-        """Record that this entry sent such a request; the next one has to wait."""
+        """Record that this entry sent a probe, and set the time of the next one."""
         state = self._states[target]
         wait_s = _find_probe_wait(state.limit_per_s, entries)
         self._states[target] = state._replace(probe_at=now + wait_s)
 
     def names_limit(self, target: str) -> bool:
-        """Whether a target is known to name a limit, or did until lately."""
+        """Check whether a target has a limit, or is in the ramp-up after one."""
         return target in self._states
 
     def forget(self, target: str) -> None:
-        """Drop what is known of a target that is gone."""
+        """Drop the limit of a target that was removed."""
         self._states.pop(target, None)
 
 
 def parse_limit(value: bytes) -> float | None:
-    """Parse a limit as a target writes it, of several the lowest; None where it is none.
+    """Parse the limit that a target states, the lowest one of several; None if there is none.
 
     Raises
     ------
     ValueError
-        Where there is one that can't be read.
+        If a value is not a finite number from 0.
     """
     if not value:
         return None
@@ -167,10 +167,10 @@
 
 
 def _find_probe_wait(limit_per_s: float, entries: int) -> float:
-    """Return the least time between two probes of one entry, in seconds."""
+    """Return the shortest time between two probes of one entry, in seconds."""
     return max(PROBE_S, entries / max(limit_per_s, PROBE_LEAST_PER_S))
 
 
 def _is_limit(limit_per_s: float) -> bool:
-    """Whether a figure may be a limit."""
+    """Check whether a number is a valid limit."""
     return math.isfinite(limit_per_s) and limit_per_s >= 0
--- a/halldoor/core/targets/notice.py
+++ b/halldoor/core/targets/notice.py
@@ -1,4 +1,4 @@
-"""What entries notify each other of: targets that are cold."""
+"""Notices between entries that a target is cold, and the choice of their receivers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 HALL_RECEIVERS = 12
 """Entries of the own hall that a notice is sent to."""
 FAR_RECEIVERS = 4
-"""Entries of other halls that a notice is sent to, so that it reaches a hall without contact."""
+"""Entries of other halls that a notice is sent to, so that it also reaches halls without contact
+with the store."""
 
 
 class ColdNotice(NamedTuple):
-    """A target's own statement on whether it is cold, as an entry read it.
+    """A target's statement on whether it is cold, as an entry received it.
 
     Attributes
     ----------
@@ -25,7 +26,7 @@
     started_ms : int
         Start of the target that the statement is about; see `TargetRecord`.
     cold_left_s : float
-        How much longer it is cold, in seconds; 0 where it is warm.
+        Time for which the target is still cold, in seconds; 0 if it is warm.
     """
 
     target: str
@@ -34,15 +35,15 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether the time is one that a target may state."""
+        """Whether the time is finite and not negative."""
         return math.isfinite(self.cold_left_s) and self.cold_left_s >= 0
 
 
 def choose_receivers(members: Iterable[MemberRecord], own: MemberRecord) -> list[MemberRecord]:
-    """Return the entries that an entry notifies: all of a small fleet, else some of each kind.
+    """Choose the entries that an entry notifies: all of a small fleet, else some near and far ones.
 
-    Each entry has an order of its own, so that in a large fleet every entry is reached by about
-    as many others.
+    Each entry has an order of its own, so that in a large fleet every entry is notified by about
+    equally many others.
     """
     known = {m.name: m for m in members if m.relay is not None and m.name != own.name}
     order = [known[name] for name in rank(own.name, known)]
--- a/halldoor/core/targets/observation.py
+++ b/halldoor/core/targets/observation.py
@@ -1,12 +1,12 @@
-"""What the entries of a hall tell each other of their targets.
+"""Observations of targets' answers that the entries of a hall share with each other.
 
-Load pattern: a fleet in which an entry meets a target, or a key, once in many seconds.  Alone it
-knows neither how busy a target is nor where a key is warm, and so waits at full targets, sends keys
-to cold ones, and refuses what others had room for.  The entries of a hall see a dozen times as much
-together.
+Load pattern: a fleet so large that an entry sends a request to a given target, or of a given key,
+only once in many seconds.  Alone it knows neither how busy a target is nor where a key is warm.  It
+would wait at full targets, send keys to cold targets, and refuse requests although other targets
+have free slots.  Together the entries of a hall observe a dozen times as many answers.
 
-Observations are hints: one that is lost or late costs nothing, and nothing is decided by them but
-the choice between targets.
+Observations are hints: a lost or late one does no harm, and only the choice between targets
+depends on them.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 
 
 class SharingSettings(NamedTuple):
-    """How the entries of a hall share what they learn.
+    """How the entries of a hall share observations.
 
     Attributes
     ----------
     peers : int
-        Entries of the hall that each one tells; 0: none.  A message costs some 30 µs at either
-        end, and with a dozen peers an entry hears of each target several times a second.
+        Entries of the hall that each entry sends its observations to; 0: none.  A message costs
+        some 30 µs at either end, and with a dozen peers an entry receives observations of each
+        target several times a second.
     period_s : float
-        Time between two messages, in seconds: below the work of most requests, so that what is
-        heard still holds.
+        Time between two messages, in seconds: below the work of most requests, so that received
+        observations are still current.
     most : int
-        Observations in one message, so that it fits a datagram; what is more is dropped.
+        Most observations in one message, so that it fits a datagram; further ones are dropped.
     """
 
     peers: int = 12
@@ -39,20 +40,20 @@
 
 
 class Observation(NamedTuple):
-    """A sound answer of a target, as an entry saw it.
+    """A successful answer of a target, as an entry observed it.
 
     Attributes
     ----------
     kind : str
-        Kind of request, for which targets work alike.
+        Kind of request; those of one kind take similar work.
     key : str
-        Its affinity key; empty where it has none.
+        Affinity key of the request; empty if it has none.
     took_ms : int
-        Time from sending to the whole answer on a connection that was there, in milliseconds.
+        Time from sending to the whole answer on an open connection, in milliseconds.
     has_waited : bool
-        The target was full when it was chosen, so that the time says little of the work.
+        The target was full when it was chosen, so that the time includes a wait.
     running, waiting, slots : int
-        What the target reported of its load; no slots where it reported none.
+        Load that the target reported, see `LoadReport`; slots are 0 if it reported none.
     """
 
     target: str
@@ -68,7 +69,7 @@
 def choose_peers(
     members: Iterable[MemberRecord], own: MemberRecord, settings: SharingSettings
 ) -> list[MemberRecord]:
-    """Choose whom an entry tells: others of its hall, by its own order where there are many."""
+    """Choose the entries of its hall to which an entry sends observations, by its own order."""
     known = {
         m.name: m
         for m in members
--- a/halldoor/core/targets/rates.py
+++ b/halldoor/core/targets/rates.py
@@ -1,9 +1,8 @@
-"""Shares of this entry in what all entries together may send to a target.
+"""This entry's share of the requests that all entries together may send to a target.
 
-A target's rate is bounded while it is cold, and while it names a limit; it gets nothing in a rest
-that it asked this entry for.  What an entry may send
-follows from the entries that share the rate and an order of them that is alike on all, without
-messages.
+A target's rate is bounded while it is cold and while it states a limit, and it gets nothing during
+a back-off that it requested from this entry.  Each entry computes its share from the entries that
+share the rate and from their order, which is the same on all of them, so no messages are needed.
 """
 
 from __future__ import annotations
@@ -19,20 +18,20 @@
 from halldoor.core.targets.target import Target
 
 COLD_WINDOW_S = 1.1
-"""Window of a cold target's rate, in seconds; a little over the one second that is judged, since
-requests that were sent apart may arrive closer together."""
+"""Window of a cold target's rate, in seconds.  It is a little longer than the second for which the
+rate is defined, since requests may arrive closer together than they were sent."""
 LIMIT_WINDOW_S = 2.0
-"""Window of a named limit, in seconds: more entries have a share than requests a second, and the
-target gets no more than twice its limit at once."""
+"""Window of a stated limit, in seconds.  In two seconds twice as many entries get a share, and the
+target gets at most twice its limit at once."""
 
 
 class EntryRanks:
-    """This entry's place in each target's order of entries; alike on every entry.
+    """This entry's rank in each target's order of entries, which is the same on every entry.
 
     Parameters
     ----------
     catalog : Catalog
-        Who else is there.
+        The entries that share the rates.
     own_name : str
         Name of this entry.
     """
@@ -44,7 +43,7 @@
         self._version = -1
 
     def get_rank(self, target: str) -> int:
-        """Return this entry's place in a target's order, from 0."""
+        """Return this entry's rank in a target's order of entries, from 0."""
         if self._catalog.sharers.version != self._version:
             self._version = self._catalog.sharers.version
             self._ranks.clear()
@@ -53,21 +52,26 @@
         return self._ranks[target]
 
     def _find_rank(self, target: str) -> int:
-        """Compute this entry's place in a target's order."""
+        """Compute this entry's rank in a target's order of entries."""
         names = {*self._catalog.sharers.list_names(), self._own_name}
         return rank(target, names).index(self._own_name)
 
 
 class TargetRates:
-    """This entry's share of the requests that a target may get.
+    """Decides whether this entry may send a target a request, and counts those that it sends.
 
     Parameters
     ----------
-    catalog, ranks, limits, rests
-        The targets with their services' rates, this entry's places, the limits that targets name,
-        and the rests that they ask for.
+    catalog : Catalog
+        The targets, and the rates of their services.
+    ranks : EntryRanks
+        Rank of this entry for each target.
+    limits : LimitTable
+        Limits that targets state.
+    rests : BackoffTable
+        Back-offs that targets request.
     in_flight : mapping of str to int
-        Requests of this entry by target.
+        Requests of this entry in flight, by target.
     """
 
     def __init__(
@@ -87,12 +91,16 @@
         self._limited = RateShare(window_s=LIMIT_WINDOW_S)
 
     def begin(self, now: float) -> None:
-        """Begin to send: what this entry sent in a life before is not known."""
+        """Start counting at this entry's start.
+
+        Nothing is sent to bounded targets in the first window, since this entry doesn't know what
+        it sent before a restart.
+        """
         self._cold = RateShare(window_s=COLD_WINDOW_S, began_at=now)
         self._limited = RateShare(window_s=LIMIT_WINDOW_S, began_at=now)
 
     def find_reason_against(self, target: Target, now: float, settings: ChoiceSettings) -> str:
-        """Return why this entry may not send to a target now; empty where it may."""
+        """Return why this entry may not send to a target now; empty if it may."""
         if self._rests and not self._may_send_after_rest(target, now):
             return "rest"
         if target.is_cold(now) and not self._has_cold_room(target, now, settings):
@@ -102,28 +110,28 @@
         return ""
 
     def take(self, target: Target, now: float, settings: ChoiceSettings) -> bool:
-        """Take one request from this entry's shares; False where one of them is used up."""
+        """Count a request to a target against this entry's shares; False if one is used up."""
         if self.find_reason_against(target, now, settings):
             return False
         if self._rests:
             self._rests.note_sent(target.start, now)
-        # Counted while it is warm too: it may have turned cold before this entry learns of it.
+        # Counted for warm targets too: one may turn cold before this entry is notified of it.
         self._cold.add(target.name, now)
         if self._limits.get_limit(target.name, now) is not None:
             self._take_limited(target, now)
         return True
 
     def find_wait(self, target: Target, now: float) -> float:
-        """Return when a limited target has room for a request from here; 0 where not known."""
+        """Return the time until a limited target may get a request, in seconds; 0 if unknown."""
         return self._limited.find_wait(target.name, now)
 
     def _may_send_after_rest(self, target: Target, now: float) -> bool:
-        """Whether no rest of a target forbids a request from here."""
+        """Check whether no back-off of a target forbids a request from this entry."""
         in_flight = self._in_flight.get(target.name, 0)
         return self._rests.may_send(target.start, now, in_flight=in_flight)
 
     def _has_cold_room(self, target: Target, now: float, settings: ChoiceSettings) -> bool:
-        """Whether a cold target has room for a request from here."""
+        """Check whether this entry's share of a cold target's rate has room for a request."""
         routing = self._catalog.routing
         service = routing.services.get(target.record.service) if routing is not None else None
         if service is None:
@@ -133,26 +141,26 @@
         return limit_per_s > 0 and self._has_room(self._cold, target, now, max(1, int(limit_per_s)))
 
     def _has_limit_room(self, target: Target, now: float) -> bool:
-        """Whether a target that names a limit has room for a request from here."""
+        """Check whether this entry's share of a target's stated limit has room for a request."""
         limit_per_s = self._limits.get_limit(target.name, now)
         if limit_per_s is None or self._limits.may_probe(target.name, now):
             return True
         return self._has_room(self._limited, target, now, int(limit_per_s * LIMIT_WINDOW_S))
 
     def _has_room(self, share: RateShare, target: Target, now: float, limit: int) -> bool:
-        """Whether this entry's share has room for one more."""
+        """Check whether this entry's share of a rate has room for one more request."""
         entries = self._catalog.count_sharers(now)
         place = self._ranks.get_rank(target.name)
         return share.has_room(target.name, now, limit=limit, entries=entries, rank=place)
 
     def _take_limited(self, target: Target, now: float) -> None:
-        """Count a request to a target that names a limit."""
+        """Count a request to a target that states a limit."""
         self._limited.add(target.name, now)
         if self._limits.may_probe(target.name, now):
             entries = self._catalog.count_sharers(now)
             self._limits.note_probe(target.name, now, entries=entries)
 
     def forget(self, target: str) -> None:
-        """Drop what was counted of a target that is gone."""
+        """Drop the counts of a target that was removed."""
         self._cold.forget(target)
         self._limited.forget(target)
--- a/halldoor/core/targets/relay.py
+++ b/halldoor/core/targets/relay.py
@@ -1,13 +1,14 @@
-"""Which entries of a hall watch the store for the others, and the changes that they pass on.
+"""Choice of the entries of a hall that watch the store for the others, and the changes they relay.
 
-Load pattern: a large fleet in which something always changes.  When every entry watches, calls to
-the store grow with entries times changes; here they grow with halls times changes.  Who watches
-follows from the registered entries alone, so that nothing has to be agreed.
+Load pattern: a large fleet in which records change all the time.  If every entry watches, calls to
+the store grow with entries times changes; with relaying they grow with halls times changes.  The
+watching entries, called readers, follow from the registered entries alone, so that no agreement is
+needed.  The entries that poll a reader are its followers.
 
-An entry may rely on another only as long as it can prove how old its knowledge is.  Each update
-carries that proof: a moment up to which every change is included.  Proofs are lower bounds: the
-time on the way only makes them older.  So an entry that relays what it got from a third one, or a
-reader that lost the store without noticing, can never make old knowledge look new.
+An entry may rely on another one only as long as it can prove how old its state is.  Each update
+carries that proof: a time up to which every change is included.  Proofs are lower bounds: message
+delays only make them older.  So an entry that relays another entry's changes, or a reader that
+lost the store without noticing, can never make old state look new.
 """
 
 from __future__ import annotations
@@ -23,67 +24,68 @@
 T = TypeVar("T")
 
 BATCHES_KEPT = 64
-"""Batches of changes that an entry keeps for its followers: 20 s at three a second."""
+"""Batches of changes that an entry keeps for its followers: 20 s at three batches a second."""
 OWN_PAUSE_SHARE = 0.42
-"""Part of the bound between two slots of an entry that watches for itself alone."""
+"""Time between two watch slots of an entry that watches only for itself, as part of the bound."""
 OWN_PAUSE_LIMIT_S = 1.3
-"""Longest time between two slots, in seconds: new targets are wanted too."""
+"""Longest time between two watch slots, in seconds: new targets must be found soon, too."""
 QUIET_SHARE = 0.25
-"""Part of the bound that a reader's watch waits for changes: each return is a proof."""
+"""Wait of a reader's watch for changes, as part of the bound: each return is a proof."""
 BUSY_SHARE = 0.15
-"""The same for the watch after changes, whose proof is later by the pause."""
+"""The same for the first watch after changes, whose proof is older by the pause."""
 PAUSE_SHARE = 0.1
-"""Part of the bound that a reader pauses after changes, so that several make one call."""
+"""Pause of a reader after changes, as part of the bound, so that one call returns several."""
 AGE_SHARE = 0.6
-"""Part of the bound after which knowledge without a newer proof is too old to rely on.
+"""Age of the last proof, as part of the bound, from which state is too old to rely on.
 
-Above the shares before, which add up to the age that a sound reader's proof may reach; the rest
-of the bound is left for a poll's answer and the entry's own call to the store.
+It is above the sum of `QUIET_SHARE`, `BUSY_SHARE` and `PAUSE_SHARE`, which is the age that a
+working reader's proof may reach.  The remainder of the bound is left for a poll's answer and the
+entry's own call to the store.
 """
 HANDOVER_SHARE = 0.25
-"""Part of the bound that a reader waits for the copy of the store that it is asked for."""
+"""Time that a reader waits for the requested copy of the store, as part of the bound."""
 PAGE_SHARE = 0.25
-"""Part of the bound after which a page of the store that is not answered is asked for anew."""
+"""Time after which an unanswered page of the store is requested again, as part of the bound."""
 ROUND_TRIP_S = 0.07
 """Time of a message to another region and back, in seconds."""
 RESUME_SHARE = 0.1
-"""Part of the bound that the first watch waits which goes on from another one, or from a poll.
+"""Wait of the first watch that continues an earlier watch or a poll, as part of the bound.
 
-A store that is about to forget its history may take it, and answer it at its next change only.
+A store that is about to drop its history may accept such a watch, and answer it only at the next
+change.
 """
 RETRY_S = 0.05
-"""Longest pause before the first retry of a call to the store, in seconds: entries that lost a
-call together retry at different moments."""
+"""Longest pause before the first retry of a call to the store, in seconds.  Pauses differ, so that
+entries whose calls failed together retry at different times."""
 READING_S = 0.25
-"""Time in which all records are read, in seconds: a few pages, each a round trip."""
+"""Time of a full read of the store, in seconds: a few pages, each a round trip."""
 
 
 class Budget(NamedTuple):
-    """Parts of the way from a change of the store to the last request that ignores it.
-
-    Each is the longest time that it takes, in seconds.
+    """Longest durations of the steps from a change in the store to the last request without it.
 
     Attributes
     ----------
     own_pause_s : float
-        An entry that watches for itself pauses.
+        Pause of an entry that watches only for itself, in seconds.
     reader_pause_s : float
-        A reader pauses.
+        Pause of a reader, in seconds.
     age_s : float
-        A follower relies on a reader that is lost.
+        Time for which a follower relies on a reader that it has lost, in seconds.
     handover_s : float
-        A follower waits for all records of its reader, in vain; of another copy of the store it
-        waits longer.
+        Time that a follower waits in vain for all records from its reader, in seconds; it waits
+        longer for those of another copy of the store.
     connect_s, call_s : float
-        A connection to the store is opened, and a call answered.
+        Time to open a connection to the store, and of a call to it, in seconds.
     retry_s : float
-        The first retry is put off.
+        Delay of the first retry, in seconds.
     poll_s : float
-        A poll's answer comes in: within a hall.
+        Time for a poll's answer to arrive, within a hall, in seconds.
     reading_s : float
-        All records are read.
+        Time of a full read of the store, in seconds.
     request_s : float
-        A request that was sent just before opens its connection, and arrives.
+        Time in which a request that was sent just before the change was applied opens its
+        connection and arrives, in seconds.
     """
 
     own_pause_s: float
@@ -98,18 +100,18 @@
     request_s: float = 1.5 * ROUND_TRIP_S
 
     def add_up(self, chain: Sequence[str]) -> float:
-        """Return the time that a chain of parts takes, in seconds."""
+        """Return the time of a chain of steps, in seconds: attribute names without ``_s``."""
         return sum(getattr(self, f"{part}_s") for part in chain)
 
 
 _CUT = ("call", "retry", "connect", "call")
-"""A watch is cut, and another one opened."""
+"""A watch is cut, and another one is opened."""
 _REFUSED = ("retry", "call")
-"""A call is refused, and made once more."""
+"""A call is refused, and made again."""
 _LOST_HISTORY = (*_CUT, "retry", "reading")
-"""The watch that is opened after a cut finds the history lost."""
+"""The watch opened after a cut finds the store's history lost, so that all records are read."""
 _LOST_READER = ("age", "connect", "call")
-"""A follower watches the store itself."""
+"""A follower loses its reader and calls the store itself."""
 CHAINS = {
     "own watch": ("own_pause", "call", "request"),
     "own watch, cut": ("own_pause", *_CUT, "request"),
@@ -148,34 +150,34 @@
         "request",
     ),
 }
-"""Ways of news to an entry, by what goes wrong on them: the parts one after the other."""
+"""Steps by which a change reaches an entry, one after the other, by the failures on the way."""
 
 
 class RelaySettings(NamedTuple):
-    """When and how changes are passed on between the entries of a hall.
+    """When and how changes are relayed between the entries of a hall.
 
     Attributes
     ----------
     least_entries : int
         Entries of a hall from which some of them read the store for the others.  Below it, the
-        reader's short watches cost more calls than they save: they are 1.3 a second at a bound
-        of 3 s, where an entry of its own makes 0.2 to 0.8.
+        reader's short watches cost more calls than they save: it makes 1.3 calls a second at a
+        bound of 3 s, while an entry that watches only for itself makes 0.2 to 0.8.
     followers_per_reader : int
-        Entries for each reader; a poll costs the reader about 1 ms of processor time, and each
-        follower polls as often as there is news or a proof, one to three times a second.
+        Entries for each reader.  A poll costs the reader about 1 ms of processor time, and each
+        follower polls once per change or proof, one to three times a second.
     bound_s : float
-        Shortest time in which a change has to be in force, in seconds.
+        Time within which a change has to be in force on every entry, in seconds.
     answer_s : float
         Time for a poll's answer beyond its wait, in seconds: hundreds of round trips in a hall.
     poll_at_least_s : float
-        Shortest wait of a poll, in seconds, so that a reader without news is not asked in a loop;
-        and the shortest time for its answer.
+        Shortest wait of a poll, in seconds, so that a reader without changes is not polled in a
+        tight loop; and the shortest time for its answer.
     contact_limit_s : float
         Time without any answer of the store after which an entry follows any other that has
         contact, in seconds: two renewals of its lease have failed by then.
     direct_s : float
         Time for which an entry that lost its reader watches the store itself, in seconds: the
-        lifetime of a dead reader's record.
+        lifetime of a crashed reader's record.
     """
 
     least_entries: int = 8
@@ -198,22 +200,22 @@
 
     @property
     def own_pause_s(self) -> float:
-        """Time between two slots of an entry that watches for itself alone, in seconds."""
+        """Time between two watch slots of an entry that watches only for itself, in seconds."""
         return min(OWN_PAUSE_LIMIT_S, OWN_PAUSE_SHARE * self.bound_s)
 
     @property
     def handover_wait_s(self) -> float:
-        """Time for a reader to read the copy of the store that is asked for, in seconds."""
+        """Time that a reader waits for the requested copy of the store, in seconds."""
         return HANDOVER_SHARE * self.bound_s
 
     @property
     def page_limit_s(self) -> float:
-        """Time for a page of the store, in seconds, while nothing says that it takes longer."""
+        """Time limit for a page of the store, in seconds, before slower pages were measured."""
         return PAGE_SHARE * self.bound_s
 
     @property
     def budget(self) -> Budget:
-        """How the bound is divided among the parts of a way."""
+        """Division of the bound among the steps of a change's way to an entry."""
         return Budget(
             own_pause_s=self.own_pause_s,
             reader_pause_s=self.pause_s,
@@ -223,7 +225,7 @@
 
     @property
     def resume_s(self) -> float:
-        """Wait of a first watch, in seconds."""
+        """Wait of the first watch that continues an earlier one, in seconds."""
         return RESUME_SHARE * self.bound_s
 
     def find_watch_s(self, *, is_after_changes: bool) -> float:
@@ -231,11 +233,11 @@
         return (BUSY_SHARE if is_after_changes else QUIET_SHARE) * self.bound_s
 
     def find_poll_s(self, age_s: float) -> float:
-        """Return how long a poll may wait for news, in seconds, by the age of the last proof."""
+        """Return how long a poll may wait for changes, in seconds, by the last proof's age."""
         return max(self.poll_at_least_s, self.age_limit_s - age_s - self.answer_s)
 
     def find_answer_s(self, age_s: float) -> float:
-        """Return the time for a poll's answer beyond its wait, in seconds."""
+        """Return the time for a poll's answer beyond its wait, in seconds, by the proof's age."""
         left_s = self.age_limit_s - age_s - self.find_poll_s(age_s)
         return min(self.answer_s, max(self.poll_at_least_s, left_s))
 
@@ -243,12 +245,12 @@
 def choose_readers(
     members: Iterable[MemberRecord], hall: str, settings: RelaySettings
 ) -> list[MemberRecord]:
-    """Choose the entries of a hall that read the store for others, alike on every entry.
+    """Choose the entries of a hall that read the store for others; every entry chooses the same.
 
     Returns
     -------
     list of MemberRecord
-        The first by rendezvous hash; empty where the hall is too small for readers.
+        The first ones by rendezvous hash; empty if the hall is too small for readers.
     """
     known = {m.name: m for m in members if m.hall == hall and m.relay is not None}
     if len(known) < settings.least_entries:
@@ -258,31 +260,31 @@
 
 
 def choose_reader(own_name: str, readers: Sequence[MemberRecord]) -> MemberRecord | None:
-    """Choose the reader that an entry follows; None where it reads the store itself."""
+    """Choose the reader that an entry follows; None if it reads the store itself."""
     by_name = {reader.name: reader for reader in readers}
     if not by_name or own_name in by_name:
         return None
-    # Each follower by its own order, so that readers have about as many.
+    # Each follower has an order of its own, so that the readers have about equally many.
     return by_name[rank(own_name, by_name)[0]]
 
 
 class WantedEra(NamedTuple):
-    """Which copy of the store an entry asks another one for records of.
+    """The copy of the store whose records an entry requests from another entry.
 
     Attributes
     ----------
     newest : str
-        The copy that its own newest answer of the store was of.
+        The copy named by the store's last answer to this entry.
     left : str or None
-        The copy that it believed until now, and no longer can; None where it believed none, or
-        where it still is that copy.
+        The copy that this entry's state was read from, if it is no longer valid; None if there
+        was none, or if it is still valid.
     """
 
     newest: str
     left: str | None = None
 
     def is_met_by(self, era: str) -> bool:
-        """Check whether records of a copy are what is asked for, or newer."""
+        """Check whether a copy is the requested one, or a newer one."""
         if era == self.newest:
             return era != self.left
         if self.left is None:
@@ -292,15 +294,15 @@
 
 
 class Batch(NamedTuple, Generic[T]):
-    """Changes that one update brought.
+    """The changes of one update.
 
     Attributes
     ----------
     after, revision : int
-        The batch holds all changes after the first revision up to the second.
+        The batch contains all changes after the first revision up to the second.
     is_difference : bool
-        What came and went between the two revisions is left out, so that it leads from the first
-        one alone to the second.
+        Changes that were undone between the two revisions are left out, so that the batch can
+        be applied only to the state at the first revision, not to one in between.
     """
 
     after: int
@@ -310,17 +312,17 @@
 
 
 class ChangeHistory(Generic[T]):
-    """The last changes that an entry took, in order and without a gap."""
+    """The last changes that an entry applied, in order and without a gap."""
 
     def __init__(self) -> None:
         self._batches: deque[Batch[T]] = deque(maxlen=BATCHES_KEPT)
 
     def has_news(self, after: int) -> bool:
-        """Check whether a follower at a revision need not wait for an answer."""
+        """Check whether a follower at a revision gets its answer at once, without waiting."""
         return not self._batches or self._batches[-1].revision > after
 
     def add(self, batch: Batch[T]) -> None:
-        """Add a batch; one that does not follow the last begins a new history."""
+        """Add a batch; one that does not follow the last one starts a new history."""
         if self._batches and self._batches[-1].revision != batch.after:
             self._batches.clear()
         can_extend = self._batches and not self._batches[-1].is_difference
@@ -331,11 +333,10 @@
             self._batches.append(last._replace(revision=batch.revision))
 
     def collect(self, after: int) -> Batch[T] | None:
-        """Collect all changes after a revision; None where some of them are not known here.
+        """Return all changes after a revision; None if the history lacks some of them.
 
-        A follower may be ahead of its reader: then there is nothing new for it.  Changes up to
-        its revision may come again where it lies within a batch: applied in order they lead to
-        the same state.
+        A follower that is ahead of its reader gets an empty batch.  If the revision lies within a
+        batch, changes up to it are repeated: applied in order they lead to the same state.
         """
         if not self._batches or after < self._batches[0].after:
             return None
@@ -351,17 +352,17 @@
 
 
 def find_slot_s(now: float, *, period_s: float, phase: float) -> float:
-    """Return the time until an entry's next slot for a watch, in seconds.
+    """Return the time until an entry's next watch slot, in seconds.
 
-    A change wakes the watches of all entries at once.  After pauses of one length they would be
-    deaf at once as well, and none of them could notify the others.
+    A change completes the watches of all entries at once.  With equal pauses they would all be
+    without a watch at the same time, and none of them could notify the others of the next change.
 
     Parameters
     ----------
     period_s : float
         Time between two slots, in seconds.
     phase : float
-        Where this entry's slots lie within the period, from 0 to 1.
+        Offset of this entry's slots within the period, from 0 to 1.
     """
     if period_s <= 0:
         return 0.0
@@ -369,17 +370,17 @@
 
 
 def date_watch(*, sent_at: float, wait_s: float, returned_at: float, has_changes: bool) -> float:
-    """Return the moment up to which a watch's answer includes every change.
+    """Return the time up to which a watch's answer includes every change.
 
-    One that brought nothing waited its time at the store first; of one with changes it is only
-    known that it was answered after it was sent.
+    A watch without changes waited its whole time at the store first.  Of a watch with changes it is
+    only known that the store answered after it was sent.
     """
     waited = sent_at + wait_s
     return sent_at if has_changes or returned_at < waited else waited
 
 
 def date_poll(*, sent_at: float, held_s: float, age_s: float) -> float:
-    """Return the moment up to which a reader's answer includes every change.
+    """Return the time up to which a reader's answer to a poll includes every change.
 
     Parameters
     ----------
--- a/halldoor/core/targets/removals.py
+++ b/halldoor/core/targets/removals.py
@@ -1,7 +1,7 @@
-"""Removals that follow from a whole reading of the store.
+"""Removals that follow from a full read of the store.
 
-What a reading does not name is gone.  After the store came back from an older copy it may be
-written again by its writer, and holds until then.
+Records that the read doesn't contain were removed.  After the store was restored from an older
+copy, their writers may write them again, so that their removal is postponed.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     evacuated: Collection[str],
     suspects: Collection[str],
 ) -> list[Change]:
-    """List the removals of what is known and a whole reading does not name.
+    """List the removals of all known records that a full read does not contain.
 
     Parameters
     ----------
@@ -50,25 +50,25 @@
 
 
 class PostponedRemovals:
-    """Removals, and when each is applied."""
+    """Removals that are applied later, each with its time."""
 
     def __init__(self) -> None:
         self._due_at: dict[Change, float] = {}
 
     def add(self, removals: Sequence[Change], *, due_at: float) -> list[Change]:
-        """Put removals off, and return those that are not: a target's record has its own rule.
+        """Postpone removals, and return those of targets: the catalog decides when to drop these.
 
         Parameters
         ----------
         due_at : float
-            When they are applied, in seconds of the steady clock.
+            Time to apply the removals, in seconds of the steady clock.
         """
         at_once: list[Change] = [c for c in removals if isinstance(c, TargetGone)]
         self._due_at = {c: due_at for c in removals if c not in at_once}
         return at_once
 
     def drop_for(self, change: Change) -> None:
-        """Drop the removal of what a change writes again."""
+        """Cancel the postponed removal of a record that a change writes again."""
         if not self._due_at:
             return
         match change:
@@ -80,7 +80,7 @@
                 self._due_at.pop(EvidenceGone(record.digest), None)
 
     def take_due(self, now: float) -> list[Change]:
-        """Return, once, the removals whose time is over."""
+        """Remove and return the removals that are due."""
         due = [change for change, at in self._due_at.items() if at <= now]
         for change in due:
             del self._due_at[change]
--- a/halldoor/core/targets/rests.py
+++ b/halldoor/core/targets/rests.py
@@ -1,9 +1,9 @@
-"""Rests that targets ask this entry for, and the return to a target after one.
+"""Back-offs that targets request from this entry, and the ramp-up of requests after one.
 
-Load pattern: targets that turn requests away at once, and therefore look idle.  A rest is between
-one target and one entry, so that entries don't notify each other of it: others may be served.
-After it the requests of this entry in flight grow from one, since those that were refused meanwhile
-come back together.
+Load pattern: targets that refuse requests at once, and therefore look idle.  A back-off concerns
+one target and one entry; entries don't notify each other of it, since others may be served.
+After it, this entry's requests in flight to the target ramp up from one, since callers that were
+refused meanwhile all retry.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 from halldoor.core.targets.statement import SEPARATOR
 
 Start = tuple[str, int]
-"""A start of a target: its incarnation, and when it started in Unix milliseconds."""
+"""Key of one start of a target: its incarnation and its start time in Unix milliseconds."""
 
 REST_MOST_S = 3600.0
-"""Longest rest that is kept, in seconds."""
+"""Longest back-off that is observed, in seconds."""
 LOOK_S = 30.0
-"""Time in a rest after which a request looks whether the target serves again, in seconds; a rest
-that long may have been asked for by mistake."""
+"""Time within a back-off between two requests that probe whether the target serves again, in
+seconds; a back-off that long may have been requested by mistake."""
 LOOKS = 2
-"""Such requests in a rest.  It ends early where all of them are answered soundly."""
+"""Probes in a back-off.  It ends early if all of them are answered successfully."""
 RETURN_S = 1.0
-"""Time after a rest in which the requests in flight that are allowed double, in seconds."""
+"""Time after a back-off in which the allowed requests in flight double, in seconds."""
 RETURN_DOUBLINGS = 3
-"""Doublings after which they are no longer bounded."""
+"""Doublings after which the requests in flight are no longer bounded."""
 
 
 class _Rest(NamedTuple):
-    """A rest, and the return after it.
+    """A back-off, and the ramp-up after it.
 
     Attributes
     ----------
     until : float
-        When it ends.
-    look_at, looks_left : float, int
-        When this entry may look whether it still holds, and how often.
-    sound_looks : int
-        Looks that were answered soundly.
+        Time at which the back-off ends.
+    probe_at, probes_left : float, int
+        Time from which this entry may send the next probe, and the number of probes left.
+    successful_probes : int
+        Probes that were answered successfully.
     is_proven : bool
-        A request after it was answered soundly.
+        A request after the back-off was answered successfully.
     """
 
     until: float
@@ -54,19 +54,19 @@
 
 
 class RestTable:
-    """The rests that targets asked this entry for."""
+    """The back-offs that targets requested from this entry."""
 
     def __init__(self) -> None:
         self._rests: dict[Start, _Rest] = {}
 
     def __bool__(self) -> bool:
-        """Whether any target rests, or returns from a rest."""
+        """Check whether any target is in a back-off, or in the ramp-up after one."""
         return bool(self._rests)
 
     def add(self, start: Start, rest_s: float, now: float) -> bool:
-        """Apply a rest that a target asked for; False where one held already.
+        """Apply a back-off that a target requested; False if one was in force already.
 
-        Of rests that overlap the longer one holds, and all share their looks.
+        Of overlapping back-offs the longer one counts, and they share their probes.
         """
         known = self._rests.get(start)
         until = now + min(rest_s, REST_MOST_S)
@@ -78,7 +78,7 @@
         return True
 
     def add_sound(self, start: Start, now: float) -> None:
-        """Apply a sound answer of a target."""
+        """Record a target's successful answer, which may end its back-off or prove its recovery."""
         rest = self._rests.get(start)
         if rest is None:
             return
@@ -90,12 +90,12 @@
             self._rests[start] = rest._replace(sound_looks=sound_looks, until=until)
 
     def may_send(self, start: Start, now: float, *, in_flight: int) -> bool:
-        """Whether this entry may send a target a request now.
+        """Check whether this entry may send a target a request now.
 
         Parameters
         ----------
         in_flight : int
-            Requests of this entry that the target has.
+            Requests of this entry in flight on the target.
         """
         rest = self._rests.get(start)
         if rest is None:
@@ -109,51 +109,51 @@
         return in_flight < (int(2**doublings) if rest.is_proven else 1)
 
     def note_sent(self, start: Start, now: float) -> None:
-        """Record that a request was sent, which in a rest is one of the looks."""
+        """Record that a request was sent, which counts as a probe during a back-off."""
         rest = self._rests.get(start)
         if rest is not None and now < rest.until:
             self._rests[start] = rest._replace(looks_left=rest.looks_left - 1, look_at=now + LOOK_S)
 
     def find_wait(self, start: Start, now: float) -> float:
-        """Return how much longer a target rests, in seconds; 0 where it does not."""
+        """Return the time left of a target's back-off, in seconds; 0 without one."""
         rest = self._rests.get(start)
         return max(0.0, rest.until - now) if rest is not None else 0.0
 
     def list_resting(self, now: float) -> Collection[str]:
-        """Return the incarnations of the targets that rest."""
+        """Return the incarnations of the targets that are in a back-off."""
         return {name for (name, _), rest in self._rests.items() if now < rest.until}
 
     def _drop_returned(self, now: float) -> None:
-        """Drop rests that ended so long ago that nothing follows from them."""
+        """Drop back-offs whose ramp-up is over."""
         span_s = RETURN_S * RETURN_DOUBLINGS
         self._rests = {s: r for s, r in self._rests.items() if now < r.until + span_s}
 
 
 def parse_rest(value: bytes, wall_s: float) -> float:
-    """Parse the rest that a target asks for, in seconds; of several the longest.
+    """Parse the back-off that a target requests, in seconds; the longest one of several.
 
     Parameters
     ----------
     value : bytes
         Seconds, fractions included, or a date; several are joined by `SEPARATOR`.
     wall_s : float
-        The time of day, in Unix seconds, for a date.
+        Current Unix time in seconds, to which a date is compared.
 
     Raises
     ------
     ValueError
-        Where it can't be read.
+        If a value is neither a date nor a finite number from 0.
     """
     texts = value.decode("latin-1").split(SEPARATOR.decode())
     return max(_parse_one(text, wall_s) for text in texts)
 
 
 def _parse_one(text: str, wall_s: float) -> float:
-    """Parse one rest."""
+    """Parse one back-off, in seconds."""
     try:
         seconds = float(text)
     except ValueError:
         return max(0.0, parsedate_to_datetime(text).timestamp() - wall_s)
     if not math.isfinite(seconds) or seconds < 0:
-        raise ValueError(f"{seconds} s of rest")
+        raise ValueError(f"back-off of {seconds} s, expected a finite time from 0")
     return seconds
--- a/halldoor/core/targets/sharers.py
+++ b/halldoor/core/targets/sharers.py
@@ -1,23 +1,23 @@
-"""Entries among which a rate is divided, and whose notices are believed."""
+"""Entries among which a rate is divided, and whose notices are accepted."""
 
 from __future__ import annotations
 
 from halldoor.core.settings import Address
 
 ABSENCE_S = 60.0
-"""Time for which an entry whose record is gone still has its share, in seconds: it may be cut off
-from the store, and go on serving."""
+"""Time for which an entry keeps its share after its record was removed, in seconds: it may only be
+cut off from the store, and still serve."""
 UNKNOWN_ENTRIES = 100
-"""Entries to reckon with while it is not known how many there are: the size of a large fleet."""
+"""Number of entries assumed shortly after the start, while it is unknown: that of a large fleet."""
 
 
 class SharerTable:
-    """The registered entries, and for a time those whose record is gone.
+    """The registered entries, and for a time those whose record was removed.
 
     Attributes
     ----------
     version : int
-        Rises whenever the entries change.
+        Incremented with each change of the entries.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         Parameters
         ----------
         address : Address, optional
-            Where its notices come from.
+            Address from which its notices are sent.
         """
         self._addresses[name] = address
         self._absent.pop(name, None)
@@ -41,24 +41,24 @@
         self.version += 1
 
     def remove(self, name: str, now: float) -> None:
-        """Remove an entry whose record is gone; it keeps its share for a time."""
+        """Mark an entry's record as removed; the entry keeps its share for `ABSENCE_S`."""
         self._registered.discard(name)
         self._absent[name] = now
         self.version += 1
 
     def has_address(self, address: Address) -> bool:
-        """Whether notices from an address are those of an entry."""
+        """Check whether an address is one from which an entry sends notices."""
         return address in self._addresses.values()
 
     def list_names(self) -> set[str]:
-        """Return the names of all that have a share."""
+        """Return the names of all entries that have a share."""
         return {*self._registered, *self._absent}
 
     def count(self, now: float, *, young_s: float) -> int:
         """Return the number of entries to divide a rate by.
 
-        After a start others may still be registering, and an entry that takes itself for the
-        only one would use the whole of what belongs to all.
+        After a restart of all entries, others may still be registering.  An entry that knows only
+        itself must not use the whole rate, so a large number is assumed at first.
 
         Parameters
         ----------
@@ -73,7 +73,7 @@
         return max(1, known, UNKNOWN_ENTRIES if is_young else 1)
 
     def _drop_absent(self, now: float) -> None:
-        """Drop entries that have been gone for too long to still serve."""
+        """Drop the entries whose record was removed more than `ABSENCE_S` ago."""
         dropped = [name for name, at in self._absent.items() if now - at > ABSENCE_S]
         for name in dropped:
             del self._absent[name]
--- a/halldoor/core/targets/statement.py
+++ b/halldoor/core/targets/statement.py
@@ -1,4 +1,4 @@
-"""What a target says of itself in an answer: one record, read once for all that act on it."""
+"""A target's statement on itself in an answer, read once for all parts that act on it."""
 
 from __future__ import annotations
 
@@ -6,24 +6,25 @@
 from typing import NamedTuple
 
 SEPARATOR = b"\n"
-"""Between the values of a field that an answer has more than once."""
+"""Separator between the values of a field that an answer contains more than once."""
 SHOWN = 16
-"""Characters of a field that are logged: a target may write anything."""
+"""Characters of a field that are logged, since a target may write values of any length."""
 
 
 class TargetStatement(NamedTuple):
-    """Fields of one answer that concern the target itself, as it wrote them; empty where missing.
+    """Unparsed fields of one answer that concern the target itself; empty if missing.
 
     Attributes
     ----------
     status : int
-        Status of the answer; 0 where there was none.
+        Status of the answer; 0 if there was none.
     limit : bytes
-        Requests a second that it takes from all entries together.
+        Requests a second that the target accepts from all entries together.
     leaving : bytes
-        ``1`` where it is about to end and takes no new work.
+        ``1`` if the target is about to stop and takes no new work.
     retry_after : bytes
-        Seconds for which it wants nothing from this entry, where it turned a request away.
+        Back-off that the target requests of this entry when it refuses a request: seconds, or a
+        date.
     """
 
     status: int = 0
@@ -35,12 +36,12 @@
     def from_answer(
         cls, status: int, headers: Iterable[tuple[bytes, bytes]], fields: Mapping[bytes, str]
     ) -> TargetStatement:
-        """Read a statement from an answer; repeated fields are joined by `SEPARATOR`.
+        """Return the statement in an answer; repeated fields are joined by `SEPARATOR`.
 
         Parameters
         ----------
         fields : mapping of bytes to str
-            Attribute by the name of its header field, in lower case.
+            Names of attributes by the lower-case names of their header fields.
         """
         found: dict[str, bytes] = {}
         for name, value in headers:
@@ -51,7 +52,7 @@
         return cls(status, **found)
 
     def to_fields(self) -> dict[str, str]:
-        """Return the fields that are there, for the log."""
+        """Return the fields that are present, for the log."""
         return {
             name: value[:SHOWN].decode("latin-1")
             for name, value in self._asdict().items()
--- a/halldoor/core/targets/target.py
+++ b/halldoor/core/targets/target.py
@@ -1,4 +1,4 @@
-"""A target that may get requests, and what is known of it."""
+"""A target that may get requests, and its known state."""
 
 from __future__ import annotations
 
@@ -8,16 +8,20 @@
 
 
 class Target:
-    """What is known of one start of a target.
+    """The known state of one start of a target.
 
     Attributes
     ----------
+    record : TargetRecord
+        Its record in the store.
+    cold_until : float
+        Time until which it is cold, in seconds of the steady clock.
     stated_at : float
-        When it last said whether it is cold, other than by its record.
+        Time of its last statement on whether it is cold, other than by its record.
     says_leaving : bool
-        It said in an answer that it is about to end.
+        It stated in an answer that it is about to stop.
     is_withdrawn : bool
-        Another entry read in the store that it drains or is gone.
+        Another entry sent a notice that the store withdrew it.
     """
 
     def __init__(self, record: TargetRecord, cold_until: float) -> None:
@@ -29,17 +33,17 @@
 
     @property
     def start(self) -> TargetStart:
-        """What tells this start of the target from others: its incarnation, and when it began."""
+        """Identity of this start of the target: its incarnation and its start time."""
         return TargetStart(self.record.incarnation, self.record.started_ms)
 
     @property
     def is_draining(self) -> bool:
-        """Whether it is about to end, by its record, its answers or another entry's notice."""
+        """Whether it is about to stop, by its record, its answers or another entry's notice."""
         return self.record.is_draining or self.says_leaving or self.is_withdrawn
 
     @property
     def name(self) -> str:
-        """Name of this incarnation."""
+        """Name of the target's incarnation."""
         return self.record.incarnation
 
     def is_cold(self, now: float) -> bool:
--- a/halldoor/core/targets/timings.py
+++ b/halldoor/core/targets/timings.py
@@ -1,4 +1,4 @@
-"""How long beliefs about targets and entries last."""
+"""Times for which records of targets and entries are kept or doubted."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 
 class CatalogTimings(NamedTuple):
-    """How long beliefs last.
+    """Times for which records of targets and entries are kept or doubted.
 
     Attributes
     ----------
     settle_s : float
-        After the store was away, time for records that lapsed meanwhile to come back.
+        Time after an outage of the store, in seconds, in which records that expired during it may
+        be written again.
     lapse_s : float
-        Shortest absence of the store in which a target's record lapses: the lifetime of a record
-        less the time between two writes.
+        Shortest outage of the store, in seconds, in which a target's record can expire: the
+        lifetime of a record less the time between two writes.
     young_s : float
-        Time after the start in which other entries may not have registered yet.
+        Time after the start, in seconds, in which other entries may not have registered yet.
     """
 
     settle_s: float = 2.0
--- a/halldoor/core/targets/withdrawal.py
+++ b/halldoor/core/targets/withdrawal.py
@@ -1,10 +1,10 @@
-"""Targets that the store withdrew, as entries notify each other of them.
+"""Notices between entries that the store withdrew a target: its record drains or was removed.
 
-Load pattern: a release in a fleet whose entries learn of each change by ways of different length.
-The entry that learns first notifies the others, so that the slowest way delays nobody else.
+Load pattern: a release in a fleet whose entries get each change after different delays.  The entry
+that gets it first notifies the others, so that a slow watch delays no entry.
 
-A notice says nothing that the store does not: it holds until the own view of the store has reached
-the revision that the notice is of, and decides by itself from then on.
+A notice adds nothing to what the store contains: it is in force until this entry's own view of the
+store has reached the notice's revision.  From then on the own view decides alone.
 """
 
 from __future__ import annotations
@@ -17,14 +17,13 @@
 from halldoor.core.targets.changes import MemberRecord, TargetStart
 
 HOLD_S = 30.0
-"""Time for which a notice holds where the own view never reaches its revision, in seconds."""
+"""Time after which a notice expires if the own view never reaches its revision, in seconds."""
 WITHDRAWN_MOST = 16
-"""Targets in one notice, so that it fits a datagram."""
+"""Most targets in one notice, so that it fits a datagram."""
 ERA_LENGTH = 64
-"""Longest name of a copy of the store in a notice, in characters."""
+"""Longest name of an era, which is a copy of the store, in a notice, in characters."""
 HOLDS_MOST = 2000
-"""Notices that are held, those of targets that are not known among them; beyond that, no further
-ones of these are kept."""
+"""Number of stored notices from which notices of unknown targets are dropped."""
 NEAR_PEERS = 4
 """Entries of the own region that a notice is sent to at a time."""
 FAR_PEERS = 2
@@ -32,21 +31,21 @@
 
 
 class StoreView(NamedTuple):
-    """How far an entry has followed the store.
+    """The state of the store that an entry has applied.
 
     Attributes
     ----------
     era : str
-        Which copy of the store the revision is of.
+        Name of the copy of the store that the revision belongs to.
     revision : int
-        Every change up to it was applied.
+        Revision up to which every change was applied.
     """
 
     era: str
     revision: int
 
     def has_reached(self, other: StoreView) -> bool:
-        """Check whether this view includes all that another one does."""
+        """Check whether this view includes every change that another one includes."""
         return self.era == other.era and self.revision >= other.revision
 
     def is_behind(self, other: StoreView) -> bool:
@@ -61,14 +60,14 @@
 
 
 class StoreNotice(NamedTuple):
-    """Changes of the store that an entry applied.
+    """Withdrawals that an entry read in the store, as it sends them to other entries.
 
     Attributes
     ----------
     view : StoreView
-        How far the sender has followed the store.
+        State of the store that the sender has applied.
     age_s : float
-        Time since an entry first applied the changes, in seconds.
+        Time since the first entry applied the withdrawals, in seconds.
     withdrawn : sequence of TargetStart
         Targets that drain, or whose record was removed.
     """
@@ -79,19 +78,19 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether an entry may send it."""
+        """Whether age, sizes and revision are in their ranges."""
         is_dated = math.isfinite(self.age_s) and 0 <= self.age_s < HOLD_S
         is_sized = len(self.view.era) <= ERA_LENGTH and len(self.withdrawn) <= WITHDRAWN_MOST
         return is_dated and is_sized and self.view.revision >= 0
 
 
 class _Hold(NamedTuple):
-    """How long a notice holds.
+    """The store view of a notice, and its expiry.
 
     Attributes
     ----------
     until : float
-        When it no longer does, in seconds of the steady clock.
+        Time at which the notice expires, in seconds of the steady clock.
     """
 
     view: StoreView
@@ -99,27 +98,27 @@
 
 
 class WithdrawalTable:
-    """Targets that are withdrawn by the word of other entries alone."""
+    """Targets that are withdrawn only by notices of other entries."""
 
     def __init__(self) -> None:
         self._holds: dict[TargetStart, _Hold] = {}
 
     def __len__(self) -> int:
-        """Return how many notices hold."""
+        """Return the number of notices in force."""
         return len(self._holds)
 
     def add(self, start: TargetStart, view: StoreView, *, until: float) -> None:
-        """Add a target; the newest view counts."""
+        """Add a notice of a target's start, unless the known one is of as late a view."""
         known = self._holds.get(start)
         if known is None or not known.view.has_reached(view):
             self._holds[start] = _Hold(view, until)
 
     def has(self, start: TargetStart) -> bool:
-        """Check whether a notice of this start of a target holds."""
+        """Check whether a notice of a target's start is in force."""
         return start in self._holds
 
     def release(self, own: StoreView, now: float) -> list[TargetStart]:
-        """Drop the targets of which the own view knows as much, and return them."""
+        """Drop and return the targets whose notices expired or were reached by the own view."""
         released = [
             start
             for start, hold in self._holds.items()
@@ -133,10 +132,11 @@
 def choose_peers(
     members: Iterable[MemberRecord], own: MemberRecord, random: Random
 ) -> list[MemberRecord]:
-    """Choose the entries that a notice is sent to, anew each time.
+    """Choose random entries to send a notice to.
 
-    Where each entry passes on what is news to it, all are reached with high probability, whoever
-    of them is away.  Most are near, since traffic between regions is dear.
+    Each entry forwards notices that are new to it, so that all entries are reached with high
+    probability, even if some are unavailable.  Most of the chosen are in the own region, since
+    traffic between regions is expensive.
     """
     others = [m for m in members if m.relay is not None and m.name != own.name]
     if len(others) <= NEAR_PEERS + FAR_PEERS:
