--- a/halldoor/tests/choicekit.py
+++ b/halldoor/tests/choicekit.py
@@ -66,7 +66,7 @@
 
 
 def hear_store_return(catalog, at, *, away_s=4.5):
-    """Let the store answer at a moment for the first time since it went away."""
+    """Record the store's first answer after an outage of `away_s` that ends at a given time."""
     catalog.note_answer(at - away_s)
     for i in range(1, round(away_s / TICK_S)):
         catalog.contact.tick(at - away_s + i * TICK_S)
@@ -74,7 +74,7 @@
 
 
 class ChooserKit(Chooser):
-    """A chooser that gives only the target, and what it learns from."""
+    """A chooser whose `choose` returns only the target, with access to its tables."""
 
     def __init__(self, catalog, name="e1", *, own_hall="ams-a", **settings):
         self.outliers, self.loads, self.latency = OutlierTable(), LoadTable(), LatencyModel()
@@ -95,12 +95,12 @@
         return choice if isinstance(choice, NoTarget) else choice.target
 
     def report(self, name, running, waiting=0, *, now=1.0, times=1):
-        """Let a target report a load, so often that its pressure follows."""
+        """Record a target's load report, repeated so that the average load follows."""
         for _ in range(times):
             self.loads.add(name, LoadReport(running, waiting, 6), now, own=0)
 
     def learn(self, *, warm_s=0.1, cold_s=0.3, targets=("x",)):
-        """Let the model know what warm and cold work takes."""
+        """Record answers from which the latency model estimates warm and cold work."""
         for target in targets:
             for i in range(40):
                 for took_s in (cold_s, warm_s, warm_s):
--- a/halldoor/tests/test_choice.py
+++ b/halldoor/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a target: affinity, bounds, cold starts, evacuations and doubt."""
+"""The choice of a target: affinity, bounds, cold starts, evacuations and ejected targets."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
     @pytest.mark.parametrize("choices", [2, 3])
     def test_overload_never_spreads_a_key_beyond_its_choices(self, choices):
-        """Regression: under overload every target became cold for every key."""
+        """Regression: under overload keys were sent to all targets, so that none was warm."""
         catalog = make_catalog(10)
         chooser = make_chooser(catalog, spill_choices=choices)
         for i in range(10):
-            # Busy, yet with a free slot now and then.
+            # The average load is high, but one slot is free.
             chooser.report(f"t{i}", 5, times=30)
         used = set()
         while not isinstance(target := chooser.choose(make_route(), "deck", "k", 1.0), NoTarget):
@@ -48,7 +48,7 @@
         assert len(used) == choices
 
     def test_a_key_hotter_than_its_targets_goes_on_to_idle_ones(self):
-        """Refusing it would leave most of the service idle."""
+        """Refusing the key's requests would leave most of the service idle."""
         chooser = make_chooser(make_catalog(10))
         for i in range(10):
             chooser.report(f"t{i}", 1)
@@ -81,7 +81,7 @@
         assert total == 12
 
     def test_a_large_fleet_ranks_no_entries_to_bound_unknown_targets(self, monkeypatch):
-        """Regression: half of an entry's processor time went into it, in a fleet of 195."""
+        """Regression: in a fleet of 195 the ranking took half of an entry's processor time."""
         chooser = make_chooser(make_catalog(20, members=[f"e{i}" for i in range(100)]))
         monkeypatch.setattr(chooser._ranks, "get_rank", None)
         for key in map(str, range(20)):
@@ -129,7 +129,7 @@
 
 class TestExpectedTime:
     def get_order(self, chooser, key="k"):
-        """Return the key's first targets, and let the work be known."""
+        """Return the key's first two targets, after recording the times of work."""
         chooser.learn()
         first = chooser.choose(make_route(), "deck", key, 1.0)
         second = chooser.choose(make_route(), "deck", key, 1.0, tried=[first.name])
@@ -158,7 +158,7 @@
         assert refused.passed_over == {"late": 1, "busy": 1}
 
     def test_what_is_refused_is_told_when_its_targets_should_have_room(self):
-        """A caller that came back 0.1 s after a refusal for a queue of 0.5 s was refused again."""
+        """Regression: a caller was told to retry after 0.1 s while the queue took 0.5 s."""
         chooser = make_chooser(make_catalog(2), spare_load=0.0)
         chooser.learn()
         for name, waiting in (("t0", 9), ("t1", 13)):
@@ -251,7 +251,7 @@
         assert [t.name for t in catalog.list_usable("deck")] == ["t0"]
 
     def test_a_removal_after_the_return_is_meant(self):
-        """Regression: an entry sent for 2 s more to a target that had left (DRAIN)."""
+        """Regression: an entry sent requests to a removed target for 2 s more (DRAIN)."""
         catalog = make_catalog(2)
         hear_store_return(catalog, 10.0)
         catalog.contact.note_known(10.0)
@@ -292,7 +292,7 @@
 
 class TestYoungEntry:
     def test_an_entry_that_just_started_does_not_take_itself_for_the_only_one(self):
-        """After all entries were killed, each sees few others and must not use the whole rate."""
+        """After a restart of all entries, each knows few others and must not use the whole rate."""
         catalog = make_catalog(0)
         catalog.apply(TargetSeen(make_target("cold", cold_left_s=20.0)), 0.0)
         chooser = make_chooser(catalog)
@@ -324,10 +324,13 @@
 
 
 class TestOtherRegions:
-    """Callers of a region without a warm target must not make other regions' callers wait."""
+    """Callers of a region without a warm target must not delay other regions' callers."""
 
     def make(self, *, load):
-        """Return a chooser whose own targets are cold and past their rate, far ones so loaded."""
+        """Return a chooser whose near targets are cold and have used up their rate.
+
+        The far targets report `load` requests.
+        """
         catalog = make_catalog(6)
         chooser = make_chooser(catalog)
         chooser.learn()
@@ -346,11 +349,11 @@
     def test_what_the_own_region_cannot_take_goes_far_only_where_there_is_a_free_slot(
         self, load, is_taken
     ):
-        """Regression: it waited there as if the keys' first targets were far.
+        """Regression: such requests waited at far targets as if those were the keys' first ones.
 
-        A region lost one hall to an evacuation and the targets of the other had just restarted.
-        Of 882 requests of all regions in the next 2 s 203 were answered in time and 484 late; 295
-        and 383 where the region's overflow takes free slots only.
+        One hall of a region was evacuated, and the targets of the other had just restarted.  Of
+        882 requests of all regions in the next 2 s, 203 were answered in time and 484 late; if the
+        region's overflow uses only free slots, it is 295 and 383.
         """
         chooser = self.make(load=load)
         near = [k for k in map(str, range(300)) if self.stands_near(chooser, k)]
--- a/halldoor/tests/test_contact.py
+++ b/halldoor/tests/test_contact.py
@@ -1,4 +1,4 @@
-"""The measure of the store's absence, by own answers and by what others report."""
+"""Detection of the store's outages, by its answers to this entry and by other entries' reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_contact(*answers):
-    """Let answers come in at some moments, with the ticks of a process that runs."""
+    """Return a contact that recorded answers at some times, with the ticks of a running process."""
     contact, now = StoreContact(), 0.0
     for at in answers:
         while now + TICK_S < at:
@@ -27,7 +27,7 @@
     [
         ((1.0, 2.0, 3.5, 4.5), None),
         ((1.0, 5.5), Absence(1.0, 5.5)),
-        # Too short a return for every target to write; and one that is long enough.
+        # The store was back too briefly for every target to write its record; then long enough.
         ((1.0, 3.5, 4.5, 7.0), Absence(1.0, 7.0)),
         ((1.0, 3.5, 4.5, 5.5, 8.0), Absence(5.5, 8.0)),
     ],
@@ -39,13 +39,13 @@
 @pytest.mark.parametrize(
     ("span", "absence"),
     [
-        # In contact for the whole time: this entry alone was cut off.
+        # The other entry was in contact all the time: only this entry was cut off.
         (ContactSpan(LONG_AGO, 5.4), Absence(1.0, 1.0)),
-        # Heard the store's return earlier.
+        # The store answered the other entry earlier.
         (ContactSpan(5.1, 5.4), Absence(1.0, 5.1)),
-        # Lost it as well, and has not heard it since.
+        # The other entry lost contact as well, and had no answer since.
         (ContactSpan(LONG_AGO, 1.2), Absence(1.0, 5.5)),
-        # Heard its return later.
+        # The store answered the other entry later.
         (ContactSpan(5.6, 5.6), Absence(1.0, 5.5)),
     ],
 )
@@ -63,7 +63,7 @@
 
 
 def test_changes_that_come_before_the_proof_of_contact_are_taken_for_meant():
-    # An entry whose contact has just begun proves less than the time of its answer on the way.
+    # The other entry's contact has just begun: its report proves less than the message's delay.
     contact = make_contact(1.0, 2.0)
     contact.note_known(2.0)
     for tick in range(21, 81):
--- a/halldoor/tests/test_latency.py
+++ b/halldoor/tests/test_latency.py
@@ -1,4 +1,4 @@
-"""What an entry learns of time and load from its own answers."""
+"""Estimates of travel, work and load from an entry's answers and targets' reports."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 class TestLatencyModel:
     def test_warm_and_cold_work_are_told_apart(self):
-        """New keys are mostly warm by others' requests; some show what a cold start takes."""
+        """Other entries have warmed most new keys; only a few answers show the cold work."""
         model = LatencyModel()
         for i in range(60):
             for n, took_s in enumerate((0.36 if i % 5 == 0 else 0.11, 0.10, 0.12, 0.11)):
@@ -70,7 +70,7 @@
     def test_a_report_counts_longer_where_an_entry_hears_of_a_target_more_seldom(
         self, targets, is_long
     ):
-        """One report in 50 ms of work of 0.5 s: of one of 4 targets in 0.2 s, of 400 in 20 s."""
+        """Reports arrive every 50 ms: of each of 4 targets every 0.2 s, of 400 every 20 s."""
         loads = LoadTable()
         for i in range(40):
             loads.add(f"t{i % 4}", LoadReport(6, 6, 6), i * 0.05, own=0, service="s")
@@ -98,7 +98,7 @@
         assert later < 0.01
 
     def test_pressure_begins_with_the_first_report_and_follows_slowly(self):
-        """Regression: everything looked idle after a start, and keys were spread cold."""
+        """Regression: after a start all targets looked idle, and keys were sent to cold ones."""
         loads = LoadTable()
         loads.add("t", LoadReport(5, 5, 5), 0.0, own=0)
         assert loads.get_pressure("t") == 2.0
--- a/halldoor/tests/test_limits.py
+++ b/halldoor/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""What is known of the limits that targets name."""
+"""The table of the limits that targets state, and their parsing."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
         limits=st.lists(st.one_of(st.none(), st.floats(0, 50)), min_size=6, max_size=6),
     )
     def test_the_order_in_which_statements_arrive_does_not_matter(self, statements, limits):
-        """The newest one counts, whatever is lost, late or doubled on the way."""
+        """The newest statement counts, even if others are lost, late or duplicated."""
         table = make_table()
         for i in [*statements, *statements]:
             table.add("t1", limits[i], 20.0 + i, entries=10)
         if limits[5] is None:
-            # The rate returns from the end on, or the limit ended before.
+            # The ramp-up after the limit is over, or the limit ended before.
             assert table.get_limit("t1", 25.0 + 4.0) is None
         else:
             assert table.get_limit("t1", 25.0) == limits[5]
--- a/halldoor/tests/test_order.py
+++ b/halldoor/tests/test_order.py
@@ -1,4 +1,4 @@
-"""The order of a key's targets in a large fleet, and how many keys a region keeps."""
+"""The order of a key's targets in a large fleet, and the share of keys that a region keeps."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class TestLargeFleet:
-    """What an entry decides that hardly ever meets the same key or target again."""
+    """Choices of an entry that rarely gets the same key or uses the same target again."""
 
     def test_an_entry_without_answers_yet_takes_the_keys_first_target_not_the_nearer(self):
-        """Regression: at the start of a fleet, keys were warmed at two targets."""
+        """Regression: at the start of a fleet, each key was sent to two targets, cold on both."""
         catalog = make_catalog(20)
         chooser = make_chooser(catalog, region_fill=0.0, near_region_fill=0.0)
         for hall, travel_s in (("grq-a", 0.024), ("ams-a", 0.001)):
@@ -34,7 +34,9 @@
     def test_a_region_takes_what_its_part_of_the_room_is_for_its_callers(
         self, travel_s, aim_s, fill
     ):
-        """Regression: a region with a tenth of the targets took 0.4 of a third of the requests."""
+        """Regression: a region with a tenth of the targets and a third of the requests ran 0.4 of
+        these.
+        """
         catalog = make_catalog(0)
         for i in range(60):
             hall = "ams-a" if i < 12 else "grq-a"
@@ -43,12 +45,12 @@
         for hall, far in (("ams-a", "grq-a"), ("grq-a", "ams-a")):
             chooser = make_chooser(catalog, own_hall=hall)
             chooser.latency.add_connect(far, travel_s)
-            # A lost packet does not make the region farther.
+            # A connection slowed by a lost packet must not change the region's distance.
             chooser.latency.add_connect(far, 1.0)
             keys = [str(i) for i in range(1000)]
             halls = [chooser.choose(make_route(aim_s=aim_s), "deck", k, 1.0) for k in keys]
             shares[hall] = sum(t.record.hall == hall for t in halls) / 1000
-        # A fifth of the room for half of the callers.
+        # The region has a fifth of the slots and half of the callers.
         assert abs(shares["ams-a"] - fill * 0.2 / 0.5) < 0.05
         assert abs(shares["grq-a"] - RegionShares().most) < 0.05
 
@@ -94,7 +96,7 @@
             assert [t for t in order if t.name not in cold] == known
         firsts = [order[0].name for order in meanwhile]
         assert 10 < sum(name in cold for name in firsts) < 60
-        # Once it is warm, the same keys are its own.
+        # Once they are warm, the keys' first targets stay the same.
         assert [order[0].name for order in get_orders(104.0)] == firsts
 
     def test_a_target_that_turns_cold_again_loses_its_place_to_the_next(self):
@@ -108,11 +110,11 @@
 
 
 class TestTargetsOut:
-    """A target that is out for now, and later gone, moves its keys once."""
+    """A target that is ejected and later removed moves its keys only once."""
 
     @pytest.mark.parametrize("hall", ["ams-a", "grq-a"])
     def test_a_key_goes_where_it_goes_when_its_target_is_gone(self, hall):
-        """Of an ejected target's 22 keys, 5 went to another region until its record was gone."""
+        """Regression: 5 of an ejected target's 22 keys went to another region until its removal."""
         catalog = make_catalog(16)
         chooser = make_chooser(catalog)
         keys = list(map(str, range(200)))
--- a/halldoor/tests/test_outlier.py
+++ b/halldoor/tests/test_outlier.py
@@ -1,4 +1,4 @@
-"""Ejection of failing and slow targets, and their careful return."""
+"""Ejection of failing and slow targets, and their trial after it."""
 
 from __future__ import annotations
 
--- a/halldoor/tests/test_rate_shares.py
+++ b/halldoor/tests/test_rate_shares.py
@@ -1,4 +1,4 @@
-"""A target's rate is divided among all entries that may serve, not among those in sight."""
+"""Division of a target's rate among all entries that may be serving, registered or not."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from halldoor.tests.choicekit import make_catalog
 
 ALLOWED = 9.0 * 1.5 + 5.0
-"""Requests that a cold target may get in any second."""
+"""Requests that all entries together may send a cold target in any second."""
 LIMIT_PER_S = 0.6 * ALLOWED
 
 
 def make_rates(names):
-    """Return each entry's catalog and its share of the rate."""
+    """Return each entry's catalog and its `TargetRates`."""
     catalogs = {name: make_catalog(targets=1, members=names) for name in names}
     for catalog in catalogs.values():
-        catalog.count_sharers(0.0)  # They have been up for a while.
+        catalog.count_sharers(0.0)  # The entries started long before the test.
     rates = {
         name: TargetRates(c, EntryRanks(c, name), LimitTable(name), RestTable(), {})
         for name, c in catalogs.items()
@@ -30,7 +30,7 @@
 
 
 def count_taken(catalogs, rates, now):
-    """Count what all entries take of a cold target at once."""
+    """Count the requests that all entries together may send a cold target at once."""
     taken = 0
     for name, rate in rates.items():
         target = catalogs[name].find_target("t0")
@@ -41,7 +41,10 @@
 
 @pytest.mark.parametrize("cut", range(1, 10))
 def test_two_groups_of_entries_each_use_the_whole_rate(cut):
-    """Entries that are cut off lapse for the others, but not the others for them."""
+    """Fault: the others see the records of cut-off entries expire; these still see the others.
+
+    Each group would then divide the whole rate among its own entries.
+    """
     names = [f"e{i}" for i in range(10)]
     catalogs, rates = make_rates(names)
     for name in names[cut:]:
@@ -61,7 +64,7 @@
 
 
 def test_entries_that_restart_send_their_shares_again():
-    """What they sent before is not known, so that they wait until it left the window."""
+    """Restarted entries don't know what they sent, so they wait until it has left the window."""
     names = [f"e{i}" for i in range(10)]
     catalogs, rates = make_rates(names)
     before = count_taken(catalogs, rates, 100.0)
@@ -72,7 +75,7 @@
 
 
 def test_what_was_sent_before_a_target_was_known_to_be_cold_counts():
-    """It may have been cold already, and gets the whole rate again."""
+    """The target may have been cold then already, and would get the whole rate twice."""
     names = ["e0", "e1"]
     catalogs, rates = make_rates(names)
     for name, rate in rates.items():
--- a/halldoor/tests/test_restart.py
+++ b/halldoor/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""A target that starts again under its name: nothing that was believed of it holds."""
+"""A target that starts again under its name: no state of its earlier start is used."""
 
 from __future__ import annotations
 
--- a/halldoor/tests/test_sharing.py
+++ b/halldoor/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""What the entries of a hall tell each other of targets."""
+"""Observations of targets that the entries of a hall send each other."""
 
 from __future__ import annotations
 
--- a/halldoor/tests/test_withdrawn_target.py
+++ b/halldoor/tests/test_withdrawn_target.py
@@ -1,4 +1,4 @@
-"""A target whose record says that it drains, or is gone, gets nothing from entries that lag."""
+"""Notices of withdrawn targets: entries that lag behind the store stop sending to them, too."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def silence_watches(fleet, entries):
-    """Let watches of some entries bring nothing for good; their other calls are answered."""
+    """Make the watches of some entries never return, while other calls to the store are answered."""
 
     async def bring_nothing(*_, **__):
         await asyncio.Event().wait()
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("entries", [6, 10])
 @pytest.mark.parametrize("is_removed", [False, True])
 def test_entries_with_silent_watches_send_to_a_withdrawn_target(entries, is_removed):
-    """Renewals are answered, so that nothing but the watch itself would show it."""
+    """Fault: watches never return while lease renewals are answered, so that all looks healthy."""
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
@@ -60,11 +60,11 @@
 
 
 def test_an_entry_whose_watch_is_silent_misses_a_configuration():
-    """Entries that hear of a newer revision open another watch."""
+    """An entry that is notified of a newer revision must open another watch."""
 
     async def check():
         async with RateFleet.open(entries=3, targets=1) as fleet:
-            await asyncio.sleep(1.0)  # The pause after a change is over.
+            await asyncio.sleep(1.0)  # Wait until the pause after a change is over.
             watch, link = fleet.links[1].watch, fleet.links[1]
             silence_watches(fleet, [1])
             kit = fleet.kits[1]
@@ -80,7 +80,7 @@
 
 
 class TestCatalog:
-    """What holds of a target that another entry says was withdrawn."""
+    """The catalog's state of a target that another entry's notice withdrew."""
 
     @pytest.fixture
     def catalog(self):
@@ -129,7 +129,7 @@
 
     @pytest.mark.parametrize(("name", "known"), [("t9", []), ("t1", [3])])
     def test_a_record_that_comes_after_the_notice_makes_it_usable(self, catalog, name, known):
-        # Notices of targets, or of their starts, that an entry did not know yet were dropped.
+        # Regression: notices of targets, or of starts, that the entry didn't know were dropped.
         for started_ms in known:
             catalog.apply(TargetSeen(make_target(name)._replace(started_ms=started_ms)), 0.5)
         start = TargetStart(name, 5)
@@ -148,7 +148,7 @@
 
 
 def test_notices_of_unknown_targets_are_held_without_a_bound():
-    """Anything may be named in them; targets that are known are withdrawn all the same."""
+    """Notices may name any target; beyond the bound, those of known targets still work."""
     catalog = make_catalog(targets=2)
     for i in range(HOLDS_MOST + 10):
         catalog.withdraw(TargetStart(f"x{i}", 0), FAR, until=HOLD_S)
@@ -160,7 +160,7 @@
 
 
 class TestNews:
-    """What an entry announces: what the store's records withdrew, once."""
+    """An entry announces each target that the store's records withdrew, once."""
 
     def test_a_target_that_drains_and_then_goes_is_announced_once(self):
         catalog = make_catalog(targets=2)
@@ -196,5 +196,5 @@
 
 
 def test_a_notice_of_an_endless_era_is_not_valid():
-    """A number of thousands of digits can't be compared."""
+    """Regression: an era with thousands of digits can't be converted to a number."""
     assert not StoreNotice(StoreView("1" * 5000, 9), 0.0, []).is_valid
--- a/properties/test_budget.py
+++ b/properties/test_budget.py
@@ -1,4 +1,4 @@
-"""Laws of the budgets that entries keep without messages."""
+"""Properties of budgets of which each entry uses its own share, without messages."""
 
 from __future__ import annotations
 
--- a/properties/test_regionshare.py
+++ b/properties/test_regionshare.py
@@ -1,4 +1,4 @@
-"""Laws of the share of a region's keys that stay in the region."""
+"""Properties of the share of a region's keys that stay in the region."""
 
 from __future__ import annotations
 
--- a/properties/test_rests.py
+++ b/properties/test_rests.py
@@ -1,4 +1,4 @@
-"""Laws of the rests that targets ask an entry for."""
+"""Properties of the back-offs that targets request from an entry."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 GRACE_S = 0.5
 STEPS = st.lists(
     st.tuples(
-        st.floats(0.01, 60.0),  # Time until the next request is asked for.
-        st.one_of(st.none(), st.floats(0.0, 600.0), st.just(1e12)),  # The rest; None: it serves.
+        st.floats(0.01, 60.0),  # Time until the next request, in seconds.
+        st.one_of(st.none(), st.floats(0.0, 600.0), st.just(1e12)),  # Back-off; None: success.
     ),
     max_size=80,
 )
