--- a/halldoor/core/targets/rests.py
+++ b/halldoor/core/targets/rests.py
@@ -155,5 +155,5 @@
     except ValueError:
         return max(0.0, parsedate_to_datetime(text).timestamp() - wall_s)
     if not math.isfinite(seconds) or seconds < 0:
-        raise ValueError(f"back-off of {seconds} s, expected a finite time from 0")
+        raise ValueError(f"{seconds} s of back-off, expected a finite number from 0")
     return seconds
--- a/halldoor/tests/test_withdrawn_target.py
+++ b/halldoor/tests/test_withdrawn_target.py
@@ -18,7 +18,7 @@
 
 
 def silence_watches(fleet, entries):
-    """Make the watches of some entries never return, while other calls to the store are answered."""
+    """Make the watches of some entries never return; other calls to the store are answered."""
 
     async def bring_nothing(*_, **__):
         await asyncio.Event().wait()
