--- a/halldoor/core/targets/changes.py
+++ b/halldoor/core/targets/changes.py
@@ -132,7 +132,7 @@
 
 
 def is_target_withdrawal(change: Change) -> bool:
-    """Check whether a change says that a target drains or was removed."""
+    """Check whether a change is the draining or the removal of a target."""
     match change:
         case TargetSeen(record):
             return record.is_draining
--- a/halldoor/core/targets/leaving.py
+++ b/halldoor/core/targets/leaving.py
@@ -42,7 +42,7 @@
 
 
 class LeavingTable:
-    """Starts of targets that are leaving, and until when that is believed."""
+    """Starts of targets that stated that they are leaving, and the expiry of each statement."""
 
     def __init__(self) -> None:
         self._until: OrderedDict[tuple[str, int], float] = OrderedDict()
--- a/halldoor/core/targets/rates.py
+++ b/halldoor/core/targets/rates.py
@@ -68,7 +68,7 @@
         Rank of this entry for each target.
     limits : LimitTable
         Limits that targets state.
-    rests : BackoffTable
+    backoffs : BackoffTable
         Back-offs that targets request.
     in_flight : mapping of str to int
         Requests of this entry in flight, by target.
@@ -131,7 +131,7 @@
         return self._rests.may_send(target.start, now, in_flight=in_flight)
 
     def _has_cold_room(self, target: Target, now: float, settings: ChoiceSettings) -> bool:
-        """Check whether this entry's share of a cold target's rate has room for a request."""
+        """Check whether this entry's share of a cold target's rate allows another request."""
         routing = self._catalog.routing
         service = routing.services.get(target.record.service) if routing is not None else None
         if service is None:
@@ -141,14 +141,14 @@
         return limit_per_s > 0 and self._has_room(self._cold, target, now, max(1, int(limit_per_s)))
 
     def _has_limit_room(self, target: Target, now: float) -> bool:
-        """Check whether this entry's share of a target's stated limit has room for a request."""
+        """Check whether this entry's share of a target's stated limit allows another request."""
         limit_per_s = self._limits.get_limit(target.name, now)
         if limit_per_s is None or self._limits.may_probe(target.name, now):
             return True
         return self._has_room(self._limited, target, now, int(limit_per_s * LIMIT_WINDOW_S))
 
     def _has_room(self, share: RateShare, target: Target, now: float, limit: int) -> bool:
-        """Check whether this entry's share of a rate has room for one more request."""
+        """Check whether this entry's share of a rate allows another request."""
         entries = self._catalog.count_sharers(now)
         place = self._ranks.get_rank(target.name)
         return share.has_room(target.name, now, limit=limit, entries=entries, rank=place)
