--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -42,10 +42,10 @@
         Why no target was chosen, as a short fixed text.
     passed_over : Mapping of str to int
         Number of targets that were passed over, by reason.
-    free_slot_after_s : float
+    room_after_s : float
         Expected time until the first of the key's targets has a free slot, in seconds; 0 where it
         is not known.
-    is_backoff : bool
+    is_asked : bool
         All targets asked this entry to back off, and the time is until the first back-off ends.
     """
 
--- a/halldoor/core/targets/cost.py
+++ b/halldoor/core/targets/cost.py
@@ -32,7 +32,7 @@
         Requests on the target from all entries.
     travel_s, wait_s, work_s : float
         Round trip, wait for a slot, and work, in seconds.
-    balance_s : float
+    evenness_s : float
         Addition for the target's load when targets are compared, in seconds; no actual time.
     """
 
--- a/halldoor/core/targets/limits.py
+++ b/halldoor/core/targets/limits.py
@@ -60,7 +60,7 @@
 
     Attributes
     ----------
-    stated_at : float
+    said_at : float
         Time at which the target's newest known answer arrived at any entry.
     ended_at : float or None
         Time of the first answer without the limit; None while the limit is in force.
@@ -94,7 +94,7 @@
         ----------
         limit_per_s : float or None
             The limit that its answer stated; None if it stated none.
-        stated_at : float
+        answered_at : float
             Time at which the answer arrived; one older than the newest known answer is ignored.
         entries : int
             Entries that share the limit.
--- a/halldoor/core/targets/load.py
+++ b/halldoor/core/targets/load.py
@@ -64,9 +64,9 @@
 
     Attributes
     ----------
-    report_s : float
+    news_s : float
         Time in which the weight of the last report falls to a third, in seconds.
-    average_s : float
+    habit_s : float
         Time in which others' average requests fall to a third without reports, in seconds.
     """
 
--- a/halldoor/core/targets/rests.py
+++ b/halldoor/core/targets/rests.py
@@ -38,9 +38,9 @@
     ----------
     until : float
         Time at which the back-off ends.
-    probe_at, probes_left : float, int
+    look_at, looks_left : float, int
         Time from which this entry may send the next probe, and the number of probes left.
-    successful_probes : int
+    sound_looks : int
         Probes that were answered successfully.
     is_proven : bool
         A request after the back-off was answered successfully.
