--- a/halldoor/core/quarantine/__init__.py
+++ b/halldoor/core/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which targets end: which are the same, and who stops them."""
+"""Quarantine of requests that crash targets: identify equal requests, count crashes, block them."""
--- a/halldoor/core/quarantine/collectors.py
+++ b/halldoor/core/quarantine/collectors.py
@@ -1,9 +1,10 @@
-"""Which entries count for all what speaks against a request.
+"""Choice of the collectors: the few entries that add up the crashes caused by one request.
 
-Load pattern: any entry may meet the request next, and of each it sees one sending in many.  With
-everybody told of every end, an end would cost a message for each entry, also the hundreds of a hall
-that loses power; so a few count for all, and tell all once two targets have ended under the same
-request.  Which ones follows from the request and the registered entries alone.
+A request that crashes targets is retried at any entry, so each entry sees only some of its
+attempts.  Broadcasting every crash would cost one message per entry, also for each of the hundreds
+of crashes when a hall loses power.  So entries report crashes to a few collectors, which notify all
+entries once two targets have crashed while running the same request.  The choice of collectors
+depends only on the request and the registered entries.
 """
 
 from __future__ import annotations
@@ -14,18 +15,19 @@
 from halldoor.core.targets.changes import MemberRecord
 
 FLEET_COLLECTORS = 2
-"""Entries of the whole fleet that count, so that the death of one costs nothing."""
+"""Collectors for the whole fleet; with two, the crash of one loses no evidence."""
 
 
 def choose_collectors(digest: str, own_hall: str, members: Iterable[MemberRecord]) -> list[str]:
-    """Choose a request's collectors for an entry of a hall: two of the fleet, one of its hall.
+    """Choose a request's collectors for an entry: two of the whole fleet and one of its own hall.
 
-    The one of the hall counts on where the hall is cut off from the others.
+    The hall's own collector still works while the hall is cut off from the others.
 
     Returns
     -------
     list of str
-        Names, the fleet's first.
+        Names of entries: first the collectors of the fleet, then that of the hall unless it is
+        one of those.
     """
     halls = {m.name: m.hall for m in members if m.relay is not None}
     order = rank(digest, halls)
--- a/halldoor/core/quarantine/evidence.py
+++ b/halldoor/core/quarantine/evidence.py
@@ -1,8 +1,8 @@
-"""What speaks against a request: the targets that ended while they ran it, over all entries.
+"""Evidence against a request: the targets that crashed while running it, over all entries.
 
-Evidence only grows: targets that ended, and those of them that are cleared because a target
-answered the request later.  So it merges to the same whatever is lost, late, doubled or out of
-order, and an entry may take it from any other and from the store.
+Evidence only grows: it holds the crashed targets, and which of these crashes are cleared because a
+target answered the request later.  So merging gives the same result in any order and with any
+message lost, delayed or duplicated, and an entry can merge evidence from any entry and the store.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 from halldoor.core.quarantine.settings import QuarantineSettings
 
 ENDS_KEPT = 16
-"""Ends of one request that are kept, the newest: more than block it."""
+"""Newest crashes that are kept for one request; more than are needed to block it."""
 
 
 class TargetEnd(NamedTuple):
-    """A target that ended while it ran a request.
+    """A target that crashed while it ran a request.
 
     Attributes
     ----------
     target : str
-        One start of a target; copies of a request that ran on it at once count once.
+        Incarnation (one start) of the target.  Copies of a request that ran on it at the same
+        time count as one crash.
     caller : str
-        Digest of whose request it ran.
+        Digest of the caller whose request it ran; see `Identity`.
     age_s : float
-        How long ago, in seconds.
+        Time since the crash, in seconds.
     """
 
     target: str
@@ -34,16 +35,18 @@
 
 
 class Evidence(NamedTuple):
-    """What one entry tells others of a request.
+    """Evidence about one request, as entries send it to each other.
 
     Attributes
     ----------
-    ends : tuple of TargetEnd
-        Targets that ended under it.
+    digest : str
+        Digest of the request; see `Identity`.
+    ends : tuple of TargetCrash
+        Targets that crashed while running the request.
     cleared : tuple of str
-        Those that it is not blamed for: a target answered it later.
+        Crashed targets that the request is not blamed for, since a target answered it later.
     was_sound : bool
-        A target has lately answered it.
+        Whether a target has answered the request recently.
     """
 
     digest: str
@@ -53,19 +56,19 @@
 
 
 class _End(NamedTuple):
-    """An end, by the clock of this entry."""
+    """A crash, dated by the clock of this entry (``at``, in seconds)."""
 
     caller: str
     at: float
 
 
 class Case:
-    """What an entry knows of one request.
+    """The crashes and answers of one request that an entry knows of.
 
     Attributes
     ----------
-    has_own_end : bool
-        A target ended under a sending of this entry.
+    has_own_crash : bool
+        Whether a target crashed during an attempt of this entry, not only of other entries.
     """
 
     def __init__(self, digest: str) -> None:
@@ -77,13 +80,13 @@
 
     @classmethod
     def from_evidence(cls, evidence: Evidence, now: float) -> Case:
-        """Build a case that knows some evidence and nothing else."""
+        """Build a history that holds the given evidence only."""
         case = cls(evidence.digest)
         case.merge(evidence, now)
         return case
 
     def add_end(self, target: str, caller: str, at: float) -> bool:
-        """Add a target that ended; False where it is known."""
+        """Add a crashed target; return False if its crash is already recorded."""
         if target in self._ends:
             return False
         self._ends[target] = _End(caller, at)
@@ -92,7 +95,7 @@
         return True
 
     def clear_before(self, answered_at: float) -> bool:
-        """Take note of an answer: it clears the request of the ends before; False if of none."""
+        """Record an answer, which clears the crashes before it; return False if nothing changes."""
         earlier = {t for t, end in self._ends.items() if end.at < answered_at} - self._cleared
         is_news = bool(earlier) or not self._was_sound
         self._cleared |= earlier
@@ -100,7 +103,7 @@
         return is_news
 
     def merge(self, evidence: Evidence, now: float) -> bool:
-        """Take what another entry knows; False where it brings nothing new."""
+        """Merge evidence of another entry; return False if it adds nothing new."""
         is_news = False
         for target, caller, age_s in evidence.ends[:ENDS_KEPT]:
             is_news |= self.add_end(target, caller, now - max(0.0, age_s))
@@ -112,17 +115,17 @@
         return is_news
 
     def forget_before(self, at: float) -> None:
-        """Forget the ends before a time."""
+        """Remove the crashes before a time."""
         for target in [t for t, end in self._ends.items() if end.at < at]:
             self._drop(target)
 
     def _drop(self, target: str) -> None:
-        """Drop an end."""
+        """Remove the crash of a target."""
         del self._ends[target]
         self._cleared.discard(target)
 
     def build_evidence(self, now: float) -> Evidence:
-        """Build what others are told."""
+        """Build the evidence that is sent to other entries or to the store."""
         ends = tuple(
             TargetEnd(target, caller, max(0.0, now - at))
             for target, (caller, at) in self._ends.items()
@@ -130,37 +133,35 @@
         return Evidence(self.digest, ends, tuple(sorted(self._cleared)), self._was_sound)
 
     def is_covered_by(self, evidence: Evidence) -> bool:
-        """Check whether evidence holds all that is known here."""
+        """Check whether the evidence contains everything in this history."""
         return (
             self._ends.keys() <= {end.target for end in evidence.ends}
             and self._cleared <= set(evidence.cleared)
             and evidence.was_sound >= self._was_sound
         )
 
-    # What follows from it
-
     def _list_blamed(self) -> list[_End]:
-        """List the ends that the request is blamed for, in order."""
+        """List the crashes that the request is blamed for (not cleared), oldest first."""
         blamed = [end for target, end in self._ends.items() if target not in self._cleared]
         return sorted(blamed, key=lambda end: end.at)
 
     def _find_limit(self, settings: QuarantineSettings) -> int:
-        """Give how many ends block the request."""
+        """Return the number of crashes that blocks the request."""
         return settings.limit_once_sound if self._was_sound else settings.limit
 
     def count_ends(self) -> int:
-        """Count the targets whose end the request is blamed for."""
+        """Count the crashes that the request is blamed for."""
         return len(self._ends) - len(self._cleared)
 
     def is_blocked(self, settings: QuarantineSettings) -> bool:
-        """Check whether the request is blocked, for one caller at least."""
+        """Check whether the request is blocked for at least one caller."""
         return bool(settings.limit) and self.count_ends() >= self._find_limit(settings)
 
     def is_blocked_for(self, caller: str, settings: QuarantineSettings) -> bool:
-        """Check whether the request of a caller is blocked.
+        """Check whether the request is blocked for a caller.
 
-        What ended under the sendings of one caller only may be that caller's doing, by headers
-        that make no difference here: it does not speak against the others.
+        Crashes during the attempts of a single caller may be caused by headers of that caller,
+        which are not part of the digest: they block the request for this caller only.
         """
         if not self.is_blocked(settings):
             return False
@@ -168,13 +169,13 @@
         return caller in callers or len(callers) > 1
 
     def list_callers(self) -> set[str]:
-        """List whose sendings targets ended under."""
+        """Return the callers whose attempts crashed targets."""
         return {end.caller for end in self._list_blamed()}
 
     def find_blocked_at(self, settings: QuarantineSettings) -> float:
-        """Return when the end came that blocked the request; it must be blocked."""
+        """Return the time of the crash that blocked the request, which must be blocked."""
         return self._list_blamed()[self._find_limit(settings) - 1].at
 
     def find_blocked_until(self, settings: QuarantineSettings) -> float:
-        """Return when so many ends are forgotten that a blocked request no longer is."""
+        """Return when enough crashes expire that a blocked request is unblocked."""
         return self._list_blamed()[-self._find_limit(settings)].at + settings.memory_s
--- a/halldoor/core/quarantine/identity.py
+++ b/halldoor/core/quarantine/identity.py
@@ -1,10 +1,9 @@
-"""Which requests are the same, and whose they are.
+"""Digests that identify equal requests, and their callers.
 
-Those of one team with the same method, host, path and body are the same; ids differ from one
-sending to the next, and so may all other headers.  Where there are no teams nobody tells who a
-caller is, and its address may be another one each time.  So an address is no part of the request,
-but goes with the evidence: targets that end under the sendings of one address speak against the
-request of that address alone.
+Requests of one team with the same method, host, path and body are equal.  Headers are ignored,
+since ids and others differ between attempts.  Without teams a caller is known only by its address,
+which may differ each time.  So the address is not part of the request's digest but recorded with
+the evidence: crashes during attempts from one address block the request for that address only.
 """
 
 from __future__ import annotations
@@ -13,20 +12,20 @@
 from typing import NamedTuple
 
 DIGEST_BYTES = 16
-"""Size of a digest: too long for anyone to find two requests with the same one."""
+"""Size of a request's digest: too long for anyone to find two requests with the same digest."""
 CALLER_BYTES = 4
-"""Size of a caller's digest, which only has to tell some callers from each other."""
+"""Size of a caller's digest; it only distinguishes the few callers of one request."""
 
 
 class Identity(NamedTuple):
-    """What makes a request the same as others, and whose this one is.
+    """Digests of a request and of its caller.
 
     Attributes
     ----------
     digest : str
-        Of team, method, host, path and body, in hexadecimal.
+        Digest of team, method, host, path and body, in hexadecimal; the same for equal requests.
     caller : str
-        Of the team, or else of the caller's address, in hexadecimal.
+        Digest of the team or, without teams, of the caller's address, in hexadecimal.
     """
 
     digest: str
@@ -43,20 +42,20 @@
     body: bytes,
     length: bytes,
 ) -> Identity:
-    """Identify a request, alike on every entry.
+    """Compute the identity of a request, which is the same on every entry.
 
     Parameters
     ----------
     team, address : str
-        Whose it is, empty where there are no teams, and where it comes from.
+        Team of the caller, empty where there are no teams, and address of the caller.
     host : bytes
-        The ``Host`` header; neither its case nor a port in it counts, as for routes.
+        The ``Host`` header; its case and port are ignored, as for routes.
     target : bytes
         Path and query.
     body : bytes
-        The body, or the beginning that is known before a long one is sent on.
+        The body, or the beginning of a long body that is forwarded before it is complete.
     length : bytes
-        Announced length of the body where only its beginning is known; empty for a whole one.
+        Announced length of the body where ``body`` is only its beginning, else empty.
     """
     name = host.partition(b":")[0].lower()
     digest = _digest(team.encode(), method, name, target, length, body, size=DIGEST_BYTES)
@@ -65,7 +64,7 @@
 
 
 def _digest(*parts: bytes, size: int) -> str:
-    """Digest parts; lengths keep one's end from passing for the next one's beginning."""
+    """Digest parts, each prefixed by its length so that moving bytes between parts matters."""
     digest = blake2b(digest_size=size)
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
--- a/halldoor/core/quarantine/quarantine.py
+++ b/halldoor/core/quarantine/quarantine.py
@@ -1,10 +1,10 @@
-"""Stop requests under which targets end, wherever they come in next.
+"""Block requests that crash targets, at whichever entry they arrive next.
 
-Load pattern: one request ends each target that begins to run it, and its caller sends it again and
-again, at any entry.  Each entry sees one or two of the ends, none can tell, and the service loses
-its targets faster than they come back.  So the ends are summed up over all entries, and past a few
-of them nobody sends the request any more.  Nothing is sent, and nothing is written to the store,
-while no target ends.
+Load pattern: one request crashes each target that starts to run it, and its caller retries it at
+any entry.  Each entry sees only one or two of the crashes and can't tell their cause, and the
+service loses targets faster than they restart.  So crashes are added up over all entries, and after
+a few of them no entry sends the request any more.  While no target crashes, no messages are sent
+and nothing is written to the store.
 """
 
 from __future__ import annotations
@@ -21,37 +21,41 @@
 from halldoor.core.quarantine.watch import Watch
 
 CASES_KEPT = 4096
-"""Requests that are remembered for ends, about 2 MB; callers can't make an entry remember more."""
+"""Requests whose crashes are kept, about 2 MB; the bound holds whatever callers send."""
 SOUND_KEPT = 4096
-"""Requests that are remembered for answers: the last 50 s of a busy entry."""
+"""Requests whose last answer is kept: about the last 50 s of a busy entry."""
 LEAST_TOLD = 2
-"""Ends from which all entries are told: one alone is mostly a target's own."""
+"""Crashes from which all entries are notified: a single crash mostly has another cause."""
 REPEATS_S = (0.3, 1.0)
-"""When a block is told again, in seconds, so that two messages to an entry may be lost."""
+"""Delays after which a block is broadcast again, in seconds: an entry may lose two messages."""
 RECORD_DELAY_S = 1.0
-"""Time for a request that is not blocked to be answered before it is recorded, in seconds."""
+"""Delay before evidence against a request that is not blocked is stored, in seconds: an answer in
+this time makes the record unnecessary."""
 STAND_IN_DELAY_S = 2.0
-"""Time until another entry records what the first has not, in seconds: above that of a watch."""
+"""Delay after which the next collector writes a record that the one before has not, in seconds:
+longer than a store watch takes to deliver the record."""
 ALONE_DELAY_S = 0.5
-"""Time for the collectors to be heard before an entry records its own ends, in seconds."""
+"""Time for which an entry waits for a broadcast of a collector before it writes a record itself,
+in seconds."""
 TRIALS_AFTER_S = (30.0, 300.0)
-"""When a blocked request may run once more, in seconds: what ended its targets may be mended."""
+"""Delays after which a blocked request may run once more, in seconds: the fault that crashed its
+targets may be fixed by then."""
 
 
 class Audience(StrEnum):
-    """Who is told, where it is not some entries by name."""
+    """Recipients of a broadcast."""
 
     FLEET = "fleet"
     HALL = "hall"
 
 
 class Message(NamedTuple):
-    """Evidence for others.
+    """Evidence to send to other entries.
 
     Attributes
     ----------
     to : tuple of str, or Audience
-        Names of entries, or all others of the fleet or of the own hall.
+        Names of the receiving entries, or all other entries of the fleet or of the own hall.
     """
 
     to: tuple[str, ...] | Audience
@@ -59,16 +63,17 @@
 
 
 class Block(NamedTuple):
-    """Why a request is not sent.
+    """Why a blocked request is not sent, and when it may run again.
 
     Attributes
     ----------
     ends : int
-        Targets that ended under it.
+        Targets that crashed while running it.
     retry_after_s : float
-        When it may run again, if only once, in seconds.
+        Time until the next trial run or the end of the block, in seconds.
     trial : int or None
-        Number of the run that one entry may try now; None where none is due.
+        Index into `TRIALS_AFTER_S` of a trial run that is due and that one entry may use; None if
+        none is due.
     """
 
     ends: int
@@ -77,29 +82,29 @@
 
 
 class BlockChange(NamedTuple):
-    """A request that is blocked now, or no longer is; for logs."""
+    """A request that has just become blocked or unblocked, for the log."""
 
     evidence: Evidence
     is_blocked: bool
 
 
 class Quarantine:
-    """One entry's part in it.
+    """The quarantine of one entry: blocked requests, and evidence to send and to store.
 
     Parameters
     ----------
     own_name : str
         Name of this entry.
     settings : QuarantineSettings
-        Bounds.
+        Numbers of crashes that block a request, and how long they count.
     find_collectors : callable
-        Gives the names of a request's collectors, the fleet's first.
+        Returns the names of a request's collectors by its digest, the fleet's first.
     on_change : callable
-        Called with each request that becomes blocked, or no longer is.
+        Called with each request that becomes blocked or unblocked.
 
     Notes
     -----
-    Times come in as ``now``, in seconds of any steady clock.
+    Times are passed in as ``now``, in seconds of any monotonic clock.
     """
 
     def __init__(
@@ -118,10 +123,8 @@
         self._sound_at: OrderedDict[str, float] = OrderedDict()
         self._outbox: list[Message] = []
 
-    # What callers' requests ask
-
     def find_block(self, request: Identity, now: float) -> Block | None:
-        """Find why a request must not be sent; None where it may."""
+        """Return why a request must not be sent; None if it may be sent."""
         watch = self._watches.get(request.digest)
         if watch is None:
             return None
@@ -138,15 +141,16 @@
         return Block(watch.case.count_ends(), max(0.0, min(times) - now), trial)
 
     def note_trial(self, digest: str, trial: int) -> None:
-        """Record that a trial was taken, by this entry or another."""
+        """Record that this entry or another has used a trial run."""
         watch = self._watches.get(digest)
         if watch is not None:
             watch.trials_taken.add(trial)
 
-    # What this entry sees
-
     def note_end(self, request: Identity, target: str, now: float) -> bool:
-        """Record that a target ended under a request; False where that is known."""
+        """Record that a target crashed during an attempt of this entry.
+
+        Return False if the crash is already recorded or the quarantine is switched off.
+        """
         if not self.settings.limit:
             return False
         watch = self._watch(request.digest)
@@ -163,12 +167,12 @@
         return True
 
     def note_answer(self, digest: str, now: float) -> bool:
-        """Record that a target answered a request soundly, and so did not end under it.
+        """Record that a target answered a request successfully, and so did not crash from it.
 
         Returns
         -------
         bool
-            It speaks for a request under which targets ended, and others are to be told.
+            Whether the answer clears crashes of the request, so that others must be notified.
         """
         self._sound_at[digest] = now
         self._sound_at.move_to_end(digest)
@@ -181,21 +185,19 @@
         return True
 
     def _find_answer(self, digest: str, now: float) -> float | None:
-        """Return when this entry last had an answer; None where that is too long ago."""
+        """Return when this entry last got an answer to a request; None if none is recent."""
         answered_at = self._sound_at.get(digest)
         if answered_at is None or answered_at < now - self.settings.sound_s:
             return None
         return answered_at
 
-    # What others know
-
     def take(self, evidence: Evidence, now: float, *, is_for_all: bool = False) -> None:
-        """Take what another entry tells.
+        """Merge evidence received from another entry.
 
         Parameters
         ----------
-        is_for_all : bool, optional
-            It told everybody: it is a collector.
+        is_broadcast : bool, optional
+            Whether a collector sent it to all entries.
         """
         watch = self._watch(evidence.digest)
         if is_for_all:
@@ -203,13 +205,13 @@
         self._merge(watch, evidence, now)
 
     def take_record(self, evidence: Evidence, now: float) -> None:
-        """Take what the store holds."""
+        """Merge evidence read from the store."""
         watch = self._watch(evidence.digest)
         watch.recorded = evidence
         self._merge(watch, evidence, now)
 
     def lose_record(self, digest: str, now: float) -> None:
-        """Record that the store no longer holds anything of a request; it may have to again."""
+        """Handle the removal of a request's record; plan to write it again if still needed."""
         watch = self._watches.get(digest)
         if watch is not None:
             watch.recorded = None
@@ -217,7 +219,7 @@
             self._plan_record(watch, now)
 
     def _merge(self, watch: Watch, evidence: Evidence, now: float) -> None:
-        """Merge evidence, and add what this entry knows to the contrary."""
+        """Merge evidence, and clear crashes in it that a recent answer at this entry refutes."""
         is_news = watch.case.merge(evidence, now)
         answered_at = self._find_answer(evidence.digest, now)
         if answered_at is not None and watch.case.clear_before(answered_at):
@@ -229,24 +231,22 @@
         self._plan_record(watch, now)
 
     def recheck_collectors(self, now: float) -> None:
-        """Tell collects now of this entry's ends, where others counted before."""
+        """Send the crashes seen by this entry to collectors that were not collectors before."""
         for watch in self._watches.values():
             if watch.case.has_own_end and watch.case.count_ends():
                 collectors = self._list_other_collectors(watch)
                 if set(collectors) - set(watch.collectors):
                     self._tell_collectors(watch, now)
 
-    # Telling others
-
     def _spread(self, watch: Watch, now: float) -> None:
-        """Judge anew, and let the others know."""
+        """Update whether a request is blocked, notify other entries and plan the record."""
         self._judge(watch, now)
         self._tell_collectors(watch, now)
         self._tell_all_if_collector(watch, now)
         self._plan_record(watch, now)
 
     def _judge(self, watch: Watch, now: float) -> None:
-        """Record whether a request is blocked."""
+        """Recompute whether a request is blocked, and report a change."""
         is_blocked = watch.case.is_blocked(self.settings)
         if is_blocked == watch.is_blocked:
             return
@@ -257,29 +257,29 @@
         self._on_change(BlockChange(watch.case.build_evidence(now), is_blocked))
 
     def _is_known(self, watch: Watch, evidence: Evidence | None) -> bool:
-        """Check whether who has some evidence need not be told more."""
+        """Check whether a receiver that has ``evidence`` needs no further evidence."""
         if evidence is None or watch.case.is_covered_by(evidence):
             return evidence is not None
         if not watch.is_blocked:
             return False
-        # Further ends change nothing where the request is blocked for as many callers.
+        # Further crashes change nothing if the receiver blocks it for the same callers already.
         case = Case.from_evidence(evidence, 0.0)
         is_blocked_for_all = len(case.list_callers()) > 1 or len(watch.case.list_callers()) == 1
         return is_blocked_for_all and case.is_blocked(self.settings)
 
     def _list_other_collectors(self, watch: Watch) -> tuple[str, ...]:
-        """List a request's collectors, this entry left out."""
+        """Return a request's collectors without this entry."""
         collectors = self._find_collectors(watch.case.digest)
         return tuple(name for name in collectors if name != self._own_name)
 
     def _tell_collectors(self, watch: Watch, now: float) -> None:
-        """Tell the collectors."""
+        """Queue a message with the current evidence to the other collectors."""
         watch.collectors = self._list_other_collectors(watch)
         if watch.collectors:
             self._outbox.append(Message(watch.collectors, watch.case.build_evidence(now)))
 
     def _tell_all_if_collector(self, watch: Watch, now: float) -> None:
-        """Tell everybody, where this entry counts and there is enough to tell."""
+        """Broadcast the evidence if this entry is a collector and it is new and sufficient."""
         is_collector = self._own_name in self._find_collectors(watch.case.digest)
         is_worth = watch.case.count_ends() >= LEAST_TOLD or watch.told is not None
         if not is_collector or not is_worth or self._is_known(watch, watch.told):
@@ -289,14 +289,19 @@
             watch.repeats = [now + after_s for after_s in REPEATS_S]
 
     def _tell_all(self, watch: Watch, now: float) -> None:
-        """Tell everybody for whom this entry counts: the fleet, or its hall."""
+        """Queue a broadcast to the fleet or, as the hall's own collector, to the hall."""
         watch.told = watch.case.build_evidence(now)
         place = self._find_collectors(watch.case.digest).index(self._own_name)
         audience = Audience.FLEET if place < FLEET_COLLECTORS else Audience.HALL
         self._outbox.append(Message(audience, watch.told))
 
     def _plan_record(self, watch: Watch, now: float) -> None:
-        """Plan when this entry records a case, unless another has done so by then."""
+        """Plan when this entry writes a record unless another entry has written it by then.
+
+        The first collector writes at once.  Later collectors, and entries that saw a crash, wait
+        for their turn if they have received a broadcast; without one, they assume that no
+        collector can be reached.
+        """
         planned_at, watch.record_at = watch.record_at, None
         is_worth = watch.case.count_ends() >= LEAST_TOLD or watch.recorded is not None
         if not is_worth or self._is_known(watch, watch.recorded):
@@ -313,23 +318,21 @@
         is_later = planned_at is not None and planned_at < now + delay_s and not is_heard
         watch.record_at = planned_at if is_later else now + delay_s
 
-    # What is due
-
     def find_due(self) -> float | None:
-        """Return when something is due; None while nothing is."""
+        """Return when the next message or record is due; None if none is."""
         if self._outbox:
             return 0.0
         return min(self._iter_due(), default=None)
 
     def _iter_due(self) -> Iterator[float]:
-        """Return the times at which something is due."""
+        """Yield the times at which records and repeated broadcasts are due."""
         for watch in self._watches.values():
             if watch.record_at is not None:
                 yield watch.record_at
             yield from watch.repeats
 
     def take_messages(self, now: float) -> list[Message]:
-        """Take what is to be sent now."""
+        """Remove and return the messages that are due."""
         for watch in self._watches.values():
             if watch.repeats and watch.repeats[0] <= now:
                 watch.repeats = [at for at in watch.repeats if at > now]
@@ -339,7 +342,7 @@
         return messages
 
     def take_record_due(self, now: float) -> Evidence | None:
-        """Take one case that is to be recorded now, a blocked one first; None where none is."""
+        """Return one record that is due, blocked requests first, and drop it from the plan."""
         due = [w for w in self._watches.values() if w.record_at is not None and w.record_at <= now]
         if not due:
             return None
@@ -348,21 +351,19 @@
         return watch.case.build_evidence(now)
 
     def note_recorded(self, evidence: Evidence) -> None:
-        """Record that the store took what this entry recorded."""
+        """Record that the store has accepted a record of this entry."""
         watch = self._watches.get(evidence.digest)
         if watch is not None:
             watch.recorded = evidence
 
     def retry_record(self, digest: str, at: float) -> None:
-        """Plan again to record what the store did not take."""
+        """Plan another attempt to write a record that the store did not accept."""
         watch = self._watches.get(digest)
         if watch is not None:
             watch.record_at = at
 
-    # What is remembered
-
     def forget_old(self, now: float) -> None:
-        """Forget the requests under which no target ended for long."""
+        """Remove expired crashes, and requests without any."""
         for digest, watch in list(self._watches.items()):
             watch.case.forget_before(now - self.settings.memory_s)
             self._judge(watch, now)
@@ -370,15 +371,19 @@
                 del self._watches[digest]
 
     def count_suspects(self) -> int:
-        """Count the requests under which targets ended."""
+        """Count the requests that are blamed for crashes."""
         return sum(watch.case.count_ends() > 0 for watch in self._watches.values())
 
     def count_blocked(self) -> int:
-        """Count the requests that are blocked."""
+        """Count the blocked requests."""
         return sum(watch.is_blocked for watch in self._watches.values())
 
     def _watch(self, digest: str) -> Watch:
-        """Return what is known of a request; the least lately met one makes room."""
+        """Return the state of a request, adding it if new.
+
+        Where `TRACKED_KEPT` requests are held, the least recently used one that is not blocked is
+        removed.
+        """
         watch = self._watches.get(digest)
         if watch is None:
             if len(self._watches) >= CASES_KEPT:
--- a/halldoor/core/quarantine/record.py
+++ b/halldoor/core/quarantine/record.py
@@ -1,4 +1,4 @@
-"""Evidence as the store keeps it: by the time of day, since an age would stand still there."""
+"""Evidence as stored in the store: with times of day, since a stored age would not grow."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class RecordedEnd(NamedTuple):
-    """A target that ended while it ran a request.
+    """A target that crashed while it ran a request; see `TargetCrash`.
 
     Attributes
     ----------
     target : str
-        One start of a target.
+        Incarnation (one start) of the target.
     caller : str
-        Digest of whose request it ran.
+        Digest of the caller whose request it ran.
     at_ms : int
-        When, in Unix milliseconds by the clock of the entry that wrote it.
+        Time of the crash, in Unix milliseconds by the clock of the entry that wrote the record.
     """
 
     target: str
@@ -28,7 +28,7 @@
 
 
 class EvidenceRecord(NamedTuple):
-    """Evidence of one request; see `Evidence`."""
+    """Stored evidence about one request; see `Evidence`."""
 
     digest: str
     ends: tuple[RecordedEnd, ...]
@@ -37,7 +37,7 @@
 
 
 def to_record(evidence: Evidence, now_ms: int) -> EvidenceRecord:
-    """Return the record of evidence.
+    """Convert evidence to a record.
 
     Parameters
     ----------
@@ -52,7 +52,7 @@
 
 
 def from_record(record: EvidenceRecord, now_ms: int) -> Evidence:
-    """Return the evidence of a record; what a fast clock dated ahead is taken for new."""
+    """Convert a record to evidence; crashes dated in the future by a fast clock get age 0."""
     ends = tuple(
         TargetEnd(target, caller, max(0.0, (now_ms - at_ms) / MS_PER_S))
         for target, caller, at_ms in record.ends
--- a/halldoor/core/quarantine/settings.py
+++ b/halldoor/core/quarantine/settings.py
@@ -1,4 +1,4 @@
-"""Bounds of the quarantine, as operators may set them."""
+"""Settings of the quarantine, as operators may set them."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 
 class QuarantineSettings(NamedTuple):
-    """When a request is blocked, and for how long.
+    """Number of crashes that blocks a request, and how long crashes and answers count.
 
     Attributes
     ----------
     limit : int
-        Targets that end under a request before it is blocked.  0: none is ever blocked.
+        Number of targets that must crash while running a request before it is blocked.
+        0: no request is ever blocked.
     limit_once_sound : int
-        The same for a request that a target has lately answered: targets that end for reasons of
-        their own, each under one of its runs, must not block it.
+        The same for a request that a target has answered recently.  It is higher, so that targets
+        that happen to crash for other reasons while running a harmless request don't block it.
     memory_s : float
-        How long an end speaks against a request, in seconds; the longest that the store keeps a
-        record without renewal.
+        How long a crash counts against a request, in seconds; also the longest time for which the
+        store keeps a record that is not renewed.
     sound_s : float
-        How long an answer speaks for a request, in seconds.
+        How long an answer clears a request of crashes that become known later, in seconds.
     """
 
     limit: int = 3
--- a/halldoor/core/quarantine/unanswered.py
+++ b/halldoor/core/quarantine/unanswered.py
@@ -1,7 +1,7 @@
-"""Requests that a target left unanswered, until it is known whether the target ended under them.
+"""Requests that a target left unanswered, kept until it is known whether the target crashed.
 
-A target whose host loses power closes nothing: its callers leave, or run out of time, before anyone
-can tell that it ended.
+A target whose host loses power closes no connection: its callers disconnect or time out before the
+crash is noticed, and the crash would not be counted against their requests.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from halldoor.core.targets.target import Target
 
 GONE_WITHIN_S = 6.0
-"""Time within which such a target is missed by the others, or its record goes, in seconds."""
+"""Time in which a crash is noticed by other entries or the target's record expires, in seconds."""
 KEPT = 512
-"""Unanswered requests that are remembered."""
+"""Unanswered requests that are kept, the newest."""
 
 
 class Unanswered(NamedTuple):
@@ -24,7 +24,7 @@
     Attributes
     ----------
     at : float
-        When its caller left, or its time ran out, in seconds of the clock of ``now``.
+        When its caller disconnected or its deadline passed, in seconds of the clock of ``now``.
     """
 
     request: Identity
@@ -39,13 +39,18 @@
         self._requests: deque[Unanswered] = deque(maxlen=KEPT)
 
     def add(self, request: Identity, target: Target, now: float) -> None:
-        """Remember a request that a target did not answer."""
+        """Keep a request that a target did not answer."""
         self._requests.append(Unanswered(request, target, now))
 
     def take(self, incarnation: str, now: float) -> list[Unanswered]:
-        """Take the requests under which a target ended that is gone now.
+        """Remove and return the recent requests that a crashed target left unanswered.
 
-        A target that was leaving did not end under any.
+        The list is empty for a target that was draining: it stopped on purpose.
+
+        Parameters
+        ----------
+        incarnation : str
+            Name of the target's incarnation (one start of it) that is gone.
         """
         recent = [r for r in self._requests if r.at >= now - GONE_WITHIN_S]
         self._requests = deque((r for r in recent if r.target.name != incarnation), maxlen=KEPT)
--- a/halldoor/core/quarantine/watch.py
+++ b/halldoor/core/quarantine/watch.py
@@ -1,4 +1,4 @@
-"""A request that an entry keeps an eye on: its case, and who knows of it."""
+"""State that an entry keeps for one request that may crash targets."""
 
 from __future__ import annotations
 
@@ -6,20 +6,27 @@
 
 
 class Watch:
-    """A case, and who was told of it.
+    """A request with its crash history, and which evidence others already have.
 
     Attributes
     ----------
-    told : Evidence or None
-        What all were told last, by this entry.
+    history : CrashHistory
+        Its crashes and answers.
+    is_blocked : bool
+        Whether it is blocked for at least one caller.
+    sent_broadcast : Evidence or None
+        Evidence that this entry broadcast last, as a collector.
     recorded : Evidence or None
-        What the store holds.
-    record_at, repeats : float or None, list of float
-        When it is to be recorded, and told again; in seconds of the clock of ``now``.
-    heard : Evidence or None
-        What another entry told all last.
-    collectors : tuple of str
-        Who was told of the own ends.
+        Evidence that the store holds.
+    record_at, rebroadcast_at : float or None, list of float
+        When to write it to the store, and when to broadcast it again; in seconds of the clock of
+        ``now``.
+    received_broadcast : Evidence or None
+        Evidence that another entry broadcast last.
+    notified_collectors : tuple of str
+        Collectors that were sent the crashes that this entry saw.
+    trials_taken : set of int
+        Numbers of the trial runs that have been used.
     """
 
     def __init__(self, digest: str) -> None:
--- a/halldoor/core/teams/__init__.py
+++ b/halldoor/core/teams/__init__.py
@@ -1,1 +1,1 @@
-"""Teams that share the system: whose a request is, and how much each may ask for."""
+"""Teams that share the system: their keys, home regions and quotas, and admission of requests."""
--- a/halldoor/core/teams/admission.py
+++ b/halldoor/core/teams/admission.py
@@ -1,10 +1,10 @@
-"""Which requests are let in, before anything is spent on them.
+"""Admission of requests: check route, key, regions and quota before a target is chosen.
 
-Checks go from what is cheapest and tells least to what takes from a budget: whether a
-configuration is known (503), whether there is a route (404), whose the key is (401), whether any
-region may serve both the route and the team (503), whether the team is within its quota (429).
-The limit on a body comes last (413), once it is read.  A caller without a key learns nothing but
-whether a route exists; and what is refused for another reason takes nothing from a quota.
+The order of the checks is: a configuration is loaded (503), a route matches (404), the key belongs
+to a team (401), some region may serve both the route and the team (503), the team is within its
+quota (429).  The limit on the body is checked last (413), once it is read.  In this order a caller
+without a valid key learns only whether a route exists, and a request that is refused for another
+reason doesn't count against a quota.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a request is not let in; part of the answer and of the log line."""
+    """Reason why a request is not admitted; part of the answer and of the log line."""
 
     NO_CONFIGURATION = "no configuration yet"
     STOOD_STILL = "the entry stood still"
@@ -30,7 +30,7 @@
 
 
 DIGEST_SHOWN = 12
-"""Hexadecimal digits of a key's digest in a log: enough to compare, none to guess the key by."""
+"""Hexadecimal digits of a key's digest in a log: enough to compare, too few to guess the key."""
 
 _STATUSES = {
     RefusalReason.NO_CONFIGURATION: 503,
@@ -44,16 +44,18 @@
 
 
 class Refusal(NamedTuple):
-    """A request that is not let in, and did not run.
+    """The refusal of a request that is not admitted, and so did not run.
 
     Attributes
     ----------
+    reason : RefusalReason
+        Why it is refused.
     team : str
-        Whose it is, as far as that is known.
+        Name of the caller's team, empty if unknown.
     key_digest : str
         Beginning of the digest of a key that no team holds, for operators to compare.
     quota : Admission or None
-        What the quota's decision went by.
+        Decision of the quota gate; None if the request was refused before.
     """
 
     reason: RefusalReason
@@ -63,19 +65,19 @@
 
     @property
     def status(self) -> int:
-        """Return the status of the answer."""
+        """Return the HTTP status of the answer."""
         return _STATUSES[self.reason]
 
 
 class Entrance(NamedTuple):
-    """A request that is let in.
+    """An admitted request.
 
     Attributes
     ----------
     route : Route
-        Its route, with the regions and the rank that hold for its team.
+        Its route, with the home regions and the priority that apply to its team.
     team : str
-        Whose it is; empty on a public route, or where there are no teams.
+        Name of its team; empty on a public route, or if no teams are configured.
     """
 
     route: Route
@@ -83,18 +85,19 @@
 
 
 class AccessSettings(NamedTuple):
-    """How old knowledge of routes and keys may be.
+    """Limits on the age of the routes and keys that an entry goes by.
 
     Attributes
     ----------
     stale_s : float
-        Age of the last contact with the store from which an unknown route or key may be a new one:
-        then the request is refused as not run, and another entry may know better.
+        Age of the last contact with the store, in seconds, from which an unknown route or key may
+        be one that was added since: the request is then refused with 503 as not run, so that the
+        caller retries at another entry.
     is_strict : bool
-        Whether a key must be known not to be taken away.
+        Whether keys are refused once they may have been revoked without this entry knowing.
     revoked_s : float
-        Time in which a key that was taken away must be out of use, in seconds; where `is_strict`,
-        an entry whose knowledge is older refuses every key.
+        Time in which a revoked key must stop working, in seconds.  With `is_strict`, an entry
+        whose last contact with the store is older refuses every key.
     """
 
     stale_s: float = 3.0
@@ -103,7 +106,7 @@
 
 
 class AccessTable:
-    """The routes and teams of one configuration.
+    """Admission by the routes and teams of one configuration.
 
     Parameters
     ----------
@@ -118,12 +121,12 @@
 
     @property
     def has_teams(self) -> bool:
-        """Check whether callers need keys."""
+        """Check whether any teams are configured, so that callers need keys."""
         return len(self._teams) > 0
 
     @property
     def teams(self) -> TeamTable:
-        """Return the teams."""
+        """Return the configured teams."""
         return self._teams
 
     def enter(
@@ -138,16 +141,24 @@
         entries: int,
         settings: AccessSettings,
     ) -> Entrance | Refusal:
-        """Decide whether a request is let in; where it is, it counts against its team's quota.
+        """Decide whether a request is admitted, and count it against its team's quota if it is.
 
         Parameters
         ----------
+        host, path : str
+            Host and path that the request asks for.
         credentials : bytes
-            Its ``Authorization`` field.
+            Value of its ``Authorization`` header.
+        gate : QuotaGate
+            Quotas at this entry.
+        now : float
+            Monotonic time, in seconds.
         age_s : float
             Age of the last contact with the store, in seconds.
         entries : int
-            Entries that share the quotas.
+            Number of entries that share the quotas.
+        settings : AccessSettings
+            Limits on ``age_s``.
         """
         route = self._routes.find(host, path)
         is_stale = age_s > settings.stale_s
@@ -172,7 +183,7 @@
 
 
 def _apply_team(route: Route, team: Team) -> Route | None:
-    """Return a route as it holds for a team; None where no region may serve both."""
+    """Return a route with a team's priority and home regions; None if they share no region."""
     if team.priority is None and not team.home_regions:
         return route
     homes = join_homes(route.home_regions, team.home_regions)
--- a/halldoor/core/teams/gate.py
+++ b/halldoor/core/teams/gate.py
@@ -1,4 +1,4 @@
-"""An entry's side of quotas: admit by the collector's shares, or by an equal part without them."""
+"""An entry's side of quotas: admit by the collector's shares or, without them, by an equal part."""
 
 from __future__ import annotations
 
@@ -19,23 +19,24 @@
 from halldoor.core.teams.team import TeamLimit
 
 TEAMS_REPORTED = 64
-"""Teams in one period of a report; others wait for the next, so that a report fits a datagram."""
+"""Most teams in one period of a report, so that it fits a datagram; others wait for the next."""
 RETRY_LEAST_S = 0.25
-"""Least time after which a refused caller may come back, in seconds: the level of its team's
-bucket has changed then."""
+"""Shortest time after which a refused caller may retry, in seconds: the level of its team's bucket
+has changed by then."""
 RETRY_MOST_S = 5.0
-"""Longest such time, in seconds: a team that stopped asking for too much is at its rate by then."""
+"""Longest time after which a refused caller may retry, in seconds: a team that stopped exceeding
+its quota is back at its rate by then."""
 
 
 class EntryBucket:
-    """A token bucket of one entry, for what it may admit alone."""
+    """A token bucket that limits what one entry admits of one team."""
 
     def __init__(self, now: float) -> None:
         self._spent = 0.0
         self._at = now
 
     def take(self, limit: TeamLimit, now: float) -> float:
-        """Take one request; give the time in seconds until there is room, 0 where it was taken."""
+        """Take a token for a request; return 0, or the seconds until one is free if none is."""
         self._advance(limit, now)
         if self._spent + 1.0 <= limit.burst:
             self._spent += 1.0
@@ -43,32 +44,32 @@
         return (self._spent + 1.0 - limit.burst) / max(limit.rate_per_s, 1e-3)
 
     def spend(self, limit: TeamLimit, now: float) -> None:
-        """Count a request that others allowed: there is less room for the next, at least none."""
+        """Charge a request that was admitted by other rules, at most until the bucket is empty."""
         self._advance(limit, now)
         self._spent = min(limit.burst, self._spent + 1.0)
 
     def _advance(self, limit: TeamLimit, now: float) -> None:
-        """Let the bucket fill."""
+        """Refill the bucket up to a time."""
         passed_s = max(0.0, now - self._at)
         self._at = max(now, self._at)
         self._spent = max(0.0, self._spent - passed_s * limit.rate_per_s)
 
     def give_back(self) -> None:
-        """Give one request back."""
+        """Return the token of one request."""
         self._spent = max(0.0, self._spent - 1.0)
 
 
 class Admission(NamedTuple):
-    """Whether a team's request is admitted, and on what knowledge.
+    """Whether a team's request is admitted, and what the decision was based on.
 
     Attributes
     ----------
     retry_after_s : float
-        When a refused caller may find room, in seconds; 0 where it is admitted.
+        Time after which a refused caller may be admitted, in seconds; 0 if it is admitted.
     part : float
-        Part of the team's requests that is admitted now.
+        Fraction admitted now: of the team's requests by the collector's answer, else of its quota.
     age_s : float or None
-        Age of the collector's answer, in seconds; None where the entry goes by its equal part.
+        Age of the collector's answer, in seconds; None if the entry used its equal part.
     """
 
     retry_after_s: float
@@ -77,19 +78,21 @@
 
     @property
     def is_admitted(self) -> bool:
-        """Check whether the request may go on."""
+        """Check whether the request is admitted."""
         return self.retry_after_s <= 0.0
 
 
 class QuotaGate:
-    """An entry's side: admit by the collector's shares, or by an equal part without them.
+    """The quotas at one entry: admit by the collector's shares, or by an equal part without them.
 
     Parameters
     ----------
+    entry : str
+        Name of this entry.
     life : int
-        Tells this start of the entry from others.
+        Number that distinguishes this start of the entry from other starts.
     draw : callable
-        Draws a number from 0 to 1: which of a team's requests are its part.
+        Returns a random number in [0, 1); decides which of a team's requests are admitted.
     """
 
     def __init__(self, entry: str, life: int, draw: Callable[[], float]) -> None:
@@ -106,7 +109,7 @@
         self._whole: dict[str, EntryBucket] = {}
 
     def use(self, limits: Mapping[str, TeamLimit]) -> None:
-        """Use other limits from now on."""
+        """Set the limits of the teams, by name."""
         self._limits = limits
 
     @property
@@ -115,16 +118,16 @@
         return bool(self._limits)
 
     def get_answer_age(self, now: float) -> float | None:
-        """Return the age of the last answer of a collector, in seconds; None before the first."""
+        """Return the age of a collector's last answer, in seconds; None before the first."""
         return None if self._answered_at is None else now - self._answered_at
 
     def admit(self, team: str, now: float, *, entries: int) -> Admission:
-        """Decide about one request, and count it.
+        """Decide whether to admit a request, and count it for the next report.
 
         Parameters
         ----------
         entries : int
-            Entries that share the quota.
+            Number of entries that share the quota.
         """
         limit = self._limits.get(team)
         if limit is None:
@@ -135,7 +138,7 @@
         if age_s is not None and age_s <= FRESH_PERIODS * find_period(entries):
             admission = self._admit_shared(team, limit, now, age_s)
             if admission.is_admitted:
-                # Where the answers end, what was admitted by them is not admitted once more.
+                # Charge the entry's own bucket too, so that it is not full when answers stop.
                 _find_bucket(self._alone, team, now).spend(_find_equal(limit, entries), now)
         else:
             admission = self._admit_alone(team, limit, now, entries)
@@ -144,23 +147,23 @@
         return admission
 
     def _admit_shared(self, team: str, limit: TeamLimit, now: float, age_s: float) -> Admission:
-        """Admit the team's part; nothing beyond what one entry alone might admit."""
+        """Admit by the collector's share, and within the team's whole limit at this entry."""
         part = self._parts.get(team, 1.0)
         if part < 1.0 and self._draw() >= part:
             return Admission(_find_return(part), part, age_s)
-        # A second of the rate at least: a team may have no burst.
+        # At least one second of the rate: a team may have a burst of 0.
         own = limit._replace(burst=max(1.0, limit.burst, limit.rate_per_s))
         wait_s = _find_bucket(self._whole, team, now).take(own, now)
         return Admission(min(RETRY_MOST_S, wait_s), part, age_s)
 
     def _admit_alone(self, team: str, limit: TeamLimit, now: float, entries: int) -> Admission:
-        """Admit by an equal part of the quota, at least one request at once."""
+        """Admit by this entry's equal part of the limit, when no answer is fresh."""
         equal = _find_equal(limit, entries)
         wait_s = _find_bucket(self._alone, team, now).take(equal, now)
         return Admission(min(RETRY_MOST_S, wait_s), 1.0 / entries, None)
 
     def give_back(self, team: str) -> None:
-        """Return a request back that was admitted and then reached no target."""
+        """Uncount a request that was admitted and then reached no target."""
         if team not in self._limits:
             return
         self._counts.setdefault(team, [0, 0])[1] -= 1
@@ -169,7 +172,7 @@
                 buckets[team].give_back()
 
     def close_period(self) -> Report:
-        """End a period; give the report to send."""
+        """Close the current period and return the report to send to the collectors."""
         names = list(self._counts)[:TEAMS_REPORTED]
         counts = tuple(TeamCount(name, *self._counts.pop(name)) for name in names)
         self._number += 1
@@ -177,7 +180,7 @@
         return Report(self._entry, self._life, tuple(self._periods))
 
     def take(self, answer: Shares, now: float) -> bool:
-        """Take a collector's answer; False where it answers no report of the last periods."""
+        """Apply a collector's answer; return False if it answers none of the latest reports."""
         if not self._number - PERIODS_SENT < answer.number <= self._number:
             return False
         self._answered_at = now
@@ -186,12 +189,12 @@
 
 
 def _find_equal(limit: TeamLimit, entries: int) -> TeamLimit:
-    """Return an entry's equal part of a limit, at least one request at once."""
+    """Return one entry's equal part of a limit, with a burst of at least one request."""
     return TeamLimit(limit.rate_per_s / entries, max(1.0, limit.burst / entries))
 
 
 def _find_bucket(buckets: dict[str, EntryBucket], team: str, now: float) -> EntryBucket:
-    """Return the bucket of a team."""
+    """Return the bucket of a team, adding a full one if it has none."""
     bucket = buckets.get(team)
     if bucket is None:
         bucket = buckets[team] = EntryBucket(now)
@@ -199,6 +202,6 @@
 
 
 def _find_return(part: float) -> float:
-    """Return the time until a refused caller likely finds room: the more are refused, the later."""
+    """Return when a refused caller should retry, in seconds: later if more requests are refused."""
     crowd = 1.0 / max(part, 0.01) - 1.0
     return min(RETRY_MOST_S, max(RETRY_LEAST_S, RECOVERY_S * crowd))
--- a/halldoor/core/teams/ledger.py
+++ b/halldoor/core/teams/ledger.py
@@ -1,4 +1,4 @@
-"""The collector's side of quotas: what all entries admitted, and the shares that follow."""
+"""The collector's side of quotas: count what all entries admit, and compute the teams' shares."""
 
 from __future__ import annotations
 
@@ -17,36 +17,37 @@
 from halldoor.core.teams.team import TeamLimit
 
 DEMAND_S = 1.0
-"""Time over which what a team asks is averaged, in seconds: three periods of every entry."""
+"""Time over which the requests of a team are averaged, in seconds: three periods of every entry."""
 SILENCE_S = 1.0
-"""Time without a report after which an entry is heard anew, in seconds."""
+"""Time without a report after which an entry that reports again counts as new, in seconds."""
 LATE_PERIODS = 1.5
-"""Time without a report, in periods, from which it is late: lost, or its entry is cut off."""
+"""Time without a report, in periods, from which a report is late: lost, or its entry cut off."""
 SILENT_S = 60.0
-"""Time for which a silent entry is taken to serve on with its equal part, in seconds.
+"""Time for which a silent entry is assumed to admit its equal part of the quotas, in seconds.
 
-An entry that is cut off still serves callers; one that died is reckoned with for no longer.
+An entry that is cut off still serves callers; one that crashed is dropped after this time.
 """
 DEBT_S = 2.0
-"""Deepest level of a bucket, in seconds of its rate: with more, a team would get nothing long
-after others stopped asking for it."""
+"""Lowest level of a bucket, in seconds of its rate below 0: any lower, and a team would still be
+refused long after it stopped exceeding its quota."""
 YOUNG_PERIODS = 3.0
-"""Time, in periods, that a collector counts before it answers.
+"""Periods for which a newly started collector counts before it answers.
 
-It does not know what was asked before, so that it would admit a hot team whole; until then
-entries go by the other collector's answers, or by equal parts.
+It lacks the counts from before its start and would admit every request of a team that exceeds its
+quota.  Until then entries use the other collector's answers, or equal parts.
 """
 RENEWAL_SHARE = 0.25
-"""Part of a period for which computed shares serve: reports of all entries come within one."""
+"""Part of a period for which computed shares are reused: the reports of all entries arrive within
+one period, and the shares are not computed again for each."""
 START_LEVEL = -0.5
-"""Level of a bucket when its collector begins to count, in parts of the burst.
+"""Level of a bucket when its collector starts to count, in parts of the burst.
 
-What was admitted just before is not known, and a hot team would pass its bound where a collector
-that restarted under it began at 0.  A team below its rate notices nothing after the first second.
+What was admitted just before is not known: starting at 0 after a restart would let a team that is
+at its limit exceed it.  A team below its rate is not affected after the first second.
 """
 BUCKET_SHARE = 0.9
-"""Part of a team's burst that the collector hands out at once; the rest covers the time until a
-share is in force."""
+"""Part of a team's burst that the collector grants; the rest covers requests that are admitted
+before a new share takes effect."""
 
 
 class _Bucket:
@@ -55,7 +56,7 @@
     Attributes
     ----------
     level : float
-        Requests that may be admitted at once; below 0 where more were than should.
+        Requests that may be admitted at once; below 0 if too many were admitted.
     """
 
     def __init__(self, limit: TeamLimit, now: float) -> None:
@@ -66,29 +67,29 @@
 
     @property
     def demand_per_s(self) -> float:
-        """Return the average; of a young bucket, over the time that it exists."""
+        """Return the team's average rate of requests; over its lifetime for a new bucket."""
         age_s = max(self._at - self._began_at, PERIOD_S)
         return self._asked_per_s / -math.expm1(-age_s / DEMAND_S)
 
     def advance(self, limit: TeamLimit, now: float) -> None:
-        """Let the bucket fill, and the demand fade."""
+        """Refill the bucket and decay the average demand up to a time."""
         passed_s = max(0.0, now - self._at)
         self._at = max(now, self._at)
         self.level = min(BUCKET_SHARE * limit.burst, self.level + passed_s * limit.rate_per_s)
         self._asked_per_s *= math.exp(-passed_s / DEMAND_S)
 
     def add(self, count: TeamCount, limit: TeamLimit) -> None:
-        """Take a count."""
+        """Add the requests that an entry counted in one period."""
         self._asked_per_s += count.asked / DEMAND_S
         self.level = max(-DEBT_S * limit.rate_per_s, self.level - count.admitted)
 
     def find_part(self, limit: TeamLimit, *, unheard: float) -> float:
-        """Return the part of the team's requests that may be admitted: 0 to 1.
+        """Return the fraction of the team's requests to admit, from 0 to 1.
 
         Parameters
         ----------
-        unheard : float
-            Requests that entries whose reports are late have likely admitted.
+        unreported : float
+            Estimate of the requests that entries with late reports have admitted.
         """
         level = min(limit.burst, self.level - unheard)
         allowed_per_s = limit.rate_per_s + level / RECOVERY_S
@@ -99,16 +100,23 @@
 
 
 class _Reporter:
-    """An entry as the collector knows it.
+    """The reports of one entry, as received by a collector.
 
     Attributes
     ----------
-    since : float
-        When it was heard first, or again after a silence.
+    life : int
+        Number that distinguishes one start of the entry from another.
+    reporting_since : float
+        Time of its first report, or of the first one after a silence, in seconds.
+    reported_at : float
+        Time of its last report, in seconds.
+    last_number : int
+        Number of its newest period; -1 before the first.
     last_counts : tuple of TeamCount
-        What it counted in its newest period.
+        Counts of its newest period.
     is_charged : bool
-        What it admitted after its last report, until it went by its equal part, is charged.
+        Whether its team buckets were charged for what it admitted between its last report and its
+        fallback to its equal part.
     """
 
     def __init__(self, life: int, now: float) -> None:
@@ -120,7 +128,7 @@
 
 
 class QuotaLedger:
-    """The collector's side: what all entries admitted, and the shares that follow."""
+    """Counts of all entries at a collector, and the teams' shares computed from them."""
 
     def __init__(self) -> None:
         self._first_at: float | None = None
@@ -132,7 +140,7 @@
         self._computed_at = -math.inf
 
     def use(self, limits: Mapping[str, TeamLimit], now: float) -> None:
-        """Use other limits from now on; what was counted stays counted."""
+        """Set the limits of the teams; earlier counts are kept."""
         self._limits = limits
         self._buckets = {
             name: self._buckets.get(name) or _Bucket(limit, now) for name, limit in limits.items()
@@ -140,7 +148,7 @@
         self._computed_at = -math.inf
 
     def take(self, report: Report, now: float) -> None:
-        """Take a report; a period that came before counts nothing."""
+        """Add an entry's report; periods that an earlier report held are not counted again."""
         reporter = self._reporters.get(report.entry)
         if reporter is None or reporter.life != report.life:
             reporter = self._reporters[report.entry] = _Reporter(report.life, now)
@@ -157,7 +165,7 @@
                 self._add(period.counts, now)
 
     def _add(self, counts: Iterable[TeamCount], now: float) -> None:
-        """Count a period."""
+        """Add the counts of one period to the teams' buckets."""
         for count in counts:
             limit = self._find_limit(count.team)
             if limit is not None:
@@ -166,25 +174,25 @@
                 bucket.add(count, limit)
 
     def _find_limit(self, team: str) -> TeamLimit | None:
-        """Return a team's limit, less what silent entries may admit; None where it has none."""
+        """Return a team's limit minus the parts of silent entries; None if it has no limit."""
         limit = self._limits.get(team)
         if limit is None:
             return None
         return TeamLimit(limit.rate_per_s * self._left, limit.burst * self._left)
 
     def is_young(self, now: float, *, period_s: float) -> bool:
-        """Check whether it counts for too short a time to answer."""
+        """Check whether this collector has counted for too short a time to answer."""
         return self._first_at is None or now - self._first_at < YOUNG_PERIODS * period_s
 
     def compute_shares(self, now: float, *, entries: int, period_s: float) -> tuple[Share, ...]:
-        """Compute the shares of the teams that ask for more than they may.
+        """Return the shares of the teams that exceed their quota, cached for a short time.
 
         Parameters
         ----------
         entries : int
-            Entries of the fleet that are registered.
+            Number of registered entries of the fleet.
         period_s : float
-            Period of their reports, in seconds.
+            Period of the entries' reports, in seconds.
         """
         if now - self._computed_at < RENEWAL_SHARE * period_s:
             return self._shares
@@ -204,10 +212,10 @@
         return self._shares
 
     def _estimate_unheard(self, now: float, *, period_s: float) -> Counter[str]:
-        """Estimate what entries admitted since their last reports, where those are late.
+        """Estimate the requests of each team that entries with late reports have admitted.
 
-        An entry that was cut off goes by its last answer for a while; once that is over, what it
-        admitted is charged for good.
+        An entry that was cut off uses its last answer for `FRESH_PERIODS`.  After that, what it
+        admitted in that time is charged to the buckets once.
         """
         late = [
             (reporter, periods)
@@ -217,10 +225,10 @@
         ]
         unheard: Counter[str] = Counter()
         if not late:
-            return unheard  # Mostly so, and adding up what all admitted takes milliseconds.
+            return unheard  # The usual case; adding up all entries' counts takes milliseconds.
         usual = self._find_usual(now, period_s=period_s)
         for reporter, periods in late:
-            # A team that just became hot is so at the entries that are not heard, too.
+            # A team whose requests just rose has risen at the entries with late reports, too.
             admitted = usual | Counter({c.team: c.admitted for c in reporter.last_counts})
             if periods < FRESH_PERIODS:
                 unheard.update({team: n * periods for team, n in admitted.items()})
@@ -232,7 +240,7 @@
         return unheard
 
     def _find_usual(self, now: float, *, period_s: float) -> Counter[str]:
-        """Find what an entry admits in a period, on average over those that are heard."""
+        """Return what one entry admits per period, averaged over entries that report in time."""
         heard = [r for r in self._reporters.values() if now - r.heard_at < LATE_PERIODS * period_s]
         total: Counter[str] = Counter()
         for reporter in heard:
@@ -240,10 +248,10 @@
         return Counter({team: n / len(heard) for team, n in total.items()})
 
     def _find_part_left(self, now: float, *, entries: int, period_s: float) -> float:
-        """Find the part of the quotas that silent entries don't use.
+        """Return the part of the quotas that is left after the equal parts of silent entries.
 
-        An entry that never reported counts as one that fell silent: it may be cut off from the
-        start, and serves on with its equal part.
+        A registered entry that never reported counts as silent: it may have been cut off since its
+        start, and admits its equal part.
         """
         fresh = 0
         for name, reporter in list(self._reporters.items()):
@@ -254,7 +262,7 @@
                 age_s <= FRESH_PERIODS * period_s
                 and now - reporter.since >= YOUNG_PERIODS * period_s
             ):
-                # Before, what it is asked is known in part only.
+                # Counts of an entry that reports only since a short time are incomplete.
                 fresh += 1
         known = max(entries, len(self._reporters), 1)
         return fresh / known
--- a/halldoor/core/teams/quota.py
+++ b/halldoor/core/teams/quota.py
@@ -1,15 +1,15 @@
-"""Quotas of teams over all entries together: what is counted where, and who may be admitted.
-
-Load pattern: a team whose callers are spread over all entries, each of which sees a few of its
-requests a second or fewer, and which suddenly asks for many times its usual.  No entry alone can
-tell; and a part of the quota for each entry would refuse what the fleet has room for, because
-the requests of a small team fall on a few entries by chance.
-
-So entries report what they were asked and what they admitted, in short periods, to a collector,
-which counts for the whole fleet.  It answers with a share for each team that asks for more than
-it may: the part of its requests that every entry admits.  A share fits few and many requests
-alike, and all entries may have the same.  All of it is soft state.  An entry without a fresh
-answer keeps to an equal part of the quota, which the collector leaves to it.
+"""Team quotas over all entries: messages between entries and collectors, and their periods.
+
+Load pattern: a team's callers are spread over all entries, each of which sees at most a few of its
+requests a second, and the team suddenly sends many times its usual rate.  A single entry can't
+notice that.  Giving each entry a fixed part of the quota would refuse requests within the quota,
+because the requests of a small team reach only a few entries by chance.
+
+So each entry reports, in short periods, how many requests it received and admitted to a collector,
+which adds them up for the whole fleet.  For each team that exceeds its quota the collector answers
+with a share: the fraction of the team's requests that every entry admits.  The same share fits all
+entries, whether they get few or many requests.  Nothing of this is stored.  An entry without a
+fresh answer admits an equal part of the quota, which the collector reserves for it.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 PERIOD_S = 0.3
 """Period of the reports of an entry of a fleet of up to `PERIOD_ENTRIES` entries, in seconds.
 
-With the way there and back a share is in force within two periods: 0.6 s.  A team that asks for
-seven times its usual is over its burst after 0.3 s, and the window that is judged lasts for
-seconds, so that what went over is made up for within it.
+Including both messages, a share takes effect within two periods: 0.6 s.  A team that sends seven
+times its usual rate exceeds its burst after 0.3 s.  Quotas are judged over windows of several
+seconds, so the excess is compensated within the window.
 """
 PERIOD_ENTRIES = 300
-"""Entries up to which the period holds; beyond, it grows with them, so that a collector never gets
-more than 1,000 reports a second.  The longer it is, the more a hot team gets before its share is
-in force."""
+"""Largest number of entries with the period `PERIOD_S`.  With more, the period grows in proportion,
+so that a collector gets at most 1,000 reports a second.  The longer the period, the more a team
+can exceed its quota before its share takes effect."""
 PERIODS_SENT = 2
-"""Periods in each report: one report may be lost without a trace."""
+"""Periods in each report: a single lost report loses no counts."""
 FRESH_PERIODS = 2.0
-"""Age of an answer, in periods, up to which an entry goes by it.
+"""Age of a collector's answer, in periods, up to which an entry uses it.
 
-An entry that is cut off just as a team becomes hot admits all of it for so long.  One answer of
-each collector may be lost.
+An entry that is cut off just when a team's requests rise admits all of them for this long.  One
+answer of each collector may be lost.
 """
 HANDOVER_PERIODS = 1.5
-"""Age of the first collector's last answer, in periods, from which the second one's count."""
+"""Age of the first collector's last answer, in periods, from which the second one's are used."""
 RECOVERY_S = 1.0
-"""Time in which a bucket's level is spent or made up for, in seconds.
+"""Time in which shares bring a bucket's level back to 0, in seconds.
 
-Above the 0.6 s after which a share is in force, so that levels don't swing; well below the
-window that is judged.
+It is longer than the 0.6 s after which a share takes effect, so that levels don't oscillate, and
+well below the window over which quotas are judged.
 """
 COLLECTORS = 2
-"""Entries that collect, so that the death of one costs nothing."""
+"""Number of collectors; with two, the crash of one loses no counts."""
 
 
 class TeamCount(NamedTuple):
@@ -53,7 +53,7 @@
     Attributes
     ----------
     asked, admitted : int
-        Requests that came, and those of them that went on to a target.
+        Requests that were received, and those of them that were admitted.
     """
 
     team: str
@@ -62,12 +62,12 @@
 
 
 class Period(NamedTuple):
-    """What an entry counted in one period.
+    """The counts of one entry in one period.
 
     Attributes
     ----------
     number : int
-        Number of the period in this life of the entry, rising.
+        Number of the period since the entry's start, rising by 1.
     """
 
     number: int
@@ -75,12 +75,16 @@
 
 
 class Report(NamedTuple):
-    """An entry's report: its last periods.
+    """An entry's report to the collectors: its last periods.
 
     Attributes
     ----------
+    entry : str
+        Name of the entry.
     life : int
-        Tells one start of the entry from another.
+        Number that distinguishes one start of the entry from another.
+    periods : tuple of Period
+        Last periods, at most `PERIODS_SENT`, oldest first.
     """
 
     entry: str
@@ -89,19 +93,21 @@
 
 
 class Share(NamedTuple):
-    """The part of a team's requests that each entry admits now, below 1."""
+    """The fraction of a team's requests that each entry admits now, below 1."""
 
     team: str
     part: float
 
 
 class Shares(NamedTuple):
-    """A collector's answer: teams that are not named are admitted whole.
+    """A collector's answer to a report: the shares of the teams that exceed their quota.
+
+    All requests of other teams are admitted.
 
     Attributes
     ----------
     number : int
-        Number of the newest period that the report held.
+        Number of the newest period in the report.
     """
 
     number: int
@@ -109,5 +115,5 @@
 
 
 def find_period(entries: int) -> float:
-    """Return the period of reports of a fleet, in seconds."""
+    """Return the period of the reports in a fleet of ``entries`` entries, in seconds."""
     return PERIOD_S * max(1.0, entries / PERIOD_ENTRIES)
--- a/halldoor/core/teams/team.py
+++ b/halldoor/core/teams/team.py
@@ -1,4 +1,4 @@
-"""Teams and their keys: whose request it is, what is allowed to it, and where it may run."""
+"""Teams: their keys, limits, priorities and home regions."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from typing import NamedTuple
 
 BEARER = b"bearer "
-"""Scheme of the field that carries a caller's key (RFC 6750, 2.1), in lower case."""
+"""Scheme of the ``Authorization`` header that carries a caller's key (RFC 6750, 2.1), in lower
+case."""
 
 
 class TeamLimit(NamedTuple):
-    """Requests that a team may make over all entries together: a token bucket.
+    """Limit on a team's requests over all entries together: a token bucket.
 
     Attributes
     ----------
     rate_per_s : float
-        Requests a second over time.
+        Requests per second in the long run.
     burst : float
-        Requests on top at once.
+        Requests that may come at once in addition.
     """
 
     rate_per_s: float
@@ -26,20 +27,20 @@
 
 
 class Team(NamedTuple):
-    """A team, as operators set it.
+    """A team, as operators configure it.
 
     Attributes
     ----------
     name : str
-        What targets are told in place of the key.
+        Name of the team, which is sent to targets instead of the key.
     key_digests : tuple of bytes
         Digests of its keys; the keys themselves are not kept.
     priority : int or None
-        Takes the place of the route's rank; None leaves that.
+        Priority of its requests, instead of the route's; None keeps the route's.
     limit : TeamLimit or None
-        None where the team may ask without bound.
+        Limit on its requests; None for no limit.
     home_regions : tuple of str
-        Regions that may serve it; any where empty.
+        Regions that may serve it; empty for any region.
     """
 
     name: str
@@ -50,27 +51,27 @@
 
 
 class SharedKeyError(ValueError):
-    """One key is held by two teams."""
+    """A key that belongs to two teams of a configuration."""
 
 
 def digest_key(key: bytes) -> bytes:
-    """Digest a key.
+    """Return the digest of a key.
 
-    Keys are looked up by it, so that neither the time of a look-up nor a dump of the process tells
-    anything of a key.
+    Teams are looked up by digest, so that neither the time of a look-up nor a memory dump reveals
+    a key.
     """
     return sha256(key).digest()
 
 
 def read_bearer(value: bytes) -> bytes:
-    """Return the key in an ``Authorization`` field; empty where there is none."""
+    """Return the bearer key in the value of an ``Authorization`` header; empty if it has none."""
     if value[: len(BEARER)].lower() != BEARER:
         return b""
     return value[len(BEARER) :].strip()
 
 
 class TeamTable:
-    """Find teams by key, in a time that does not depend on how many there are.
+    """Look-up of teams by key, in a time that does not depend on the number of teams.
 
     Parameters
     ----------
@@ -80,7 +81,7 @@
     Raises
     ------
     SharedKeyError
-        Where two teams hold one key.
+        If two teams have the same key.
     """
 
     def __init__(self, teams: Iterable[Team]) -> None:
@@ -97,7 +98,7 @@
         return len(self.by_name)
 
     def find(self, key: bytes) -> Team | None:
-        """Find the team that holds a key; None where none does."""
+        """Return the team that a key belongs to; None if there is none."""
         return self._by_digest.get(digest_key(key))
 
     def get_limits(self) -> Mapping[str, TeamLimit]:
@@ -106,13 +107,13 @@
 
 
 def join_homes(route: tuple[str, ...], team: tuple[str, ...]) -> tuple[str, ...] | None:
-    """Return the regions that both a route and a team allow.
+    """Return the home regions that both a route and a team allow.
 
     Returns
     -------
     tuple of str or None
-        Empty where neither has homes; None where both do and share none, so that no region may
-        serve the request.
+        Empty (any region) if neither has home regions; None if both have and share none, so that
+        no region may serve the request.
     """
     if not route or not team:
         return route or team
