--- a/halldoor/core/hall/__init__.py
+++ b/halldoor/core/hall/__init__.py
@@ -1,1 +1,1 @@
-"""The present entry's hall: its slots and links, its targets' health, and who else serves it."""
+"""The entry's own hall: its slots and links, the health of its targets, and its other entries."""
--- a/halldoor/core/hall/health.py
+++ b/halldoor/core/hall/health.py
@@ -1,8 +1,8 @@
-"""What an entry believes of the targets in its hall.
+"""Health of the targets in the entry's hall, as seen by this entry.
 
-"Leaving" is believed from any source at once.  "Healthy" takes the agreement of
-one's own contact: failures seen here eject a target for a while, and ejection is
-bounded so that it never empties a set.
+That a target is leaving is accepted from any source at once.  That it is healthy must agree with
+this entry's own requests: failures of these eject a target for a while.  Ejection is bounded so
+that it never removes all targets of a set.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 
 class TargetView(NamedTuple):
-    """A target as the routing policy sees it.
+    """The state of a target that routing policies compare.
 
     Attributes
     ----------
     in_flight : int
-        Requests of this entry on it now.
+        Requests of this entry that the target is running now.
     share : int
-        Slots of it that this entry can count on.
+        Slots of the target that this entry is home to.
     latency_s : float
-        Moving average of its answers here; 0 where none was seen.
+        Moving average of the time of its answers to this entry, in seconds; 0 before the first.
     ramp : float
-        Share of its room to use while it is cold, from 0 to 1.
+        Share of its slots to use, from 0 to 1; below 1 while it is cold.
     reported : float
-        Load that it reported last, from 0 to 1; it lags.
+        Load that it reported last, from 0 to 1; it lags behind the true load.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
 
 class _Contact:
-    """What this entry itself saw of one target."""
+    """Health of one target: outcomes of this entry's requests, and reports."""
 
     def __init__(self) -> None:
         self.failures = 0
@@ -60,7 +60,7 @@
 
 
 class HealthTable:
-    """Health of the targets of one hall."""
+    """Health of the targets of one hall, by name."""
 
     def __init__(self) -> None:
         self._contacts: dict[str, _Contact] = {}
@@ -69,7 +69,7 @@
         return self._contacts.setdefault(target, _Contact())
 
     def add_success(self, target: str, latency_s: float) -> None:
-        """Count a whole answer and its time."""
+        """Record a complete answer and its latency; it ends an ejection."""
         contact = self._get(target)
         contact.failures = 0
         contact.ejections = 0
@@ -78,7 +78,7 @@
         contact.latency_s = old + LATENCY_WEIGHT * (latency_s - old)
 
     def add_failure(self, target: str, *, now: float) -> None:
-        """Count a failure; several in a row eject the target, longer each time."""
+        """Record a failure; `FAILURES_TO_EJECT` in a row eject the target, longer each time."""
         contact = self._get(target)
         contact.failures += 1
         if contact.failures >= FAILURES_TO_EJECT:
@@ -88,14 +88,14 @@
             contact.ejected_until = now + pause_s
 
     def add_shed(self, target: str, *, now: float) -> None:
-        """Count a shed request: the target is full for a moment, not broken."""
+        """Record that the target shed a request: eject it briefly, as it is full but not broken."""
         contact = self._get(target)
         contact.ejected_until = max(contact.ejected_until, now + 0.1)
 
     def add_report(
         self, target: str, *, now: float, is_healthy: bool, is_leaving: bool, load: float = 0.0
     ) -> None:
-        """Take a probe's result, one's own or a peer's."""
+        """Record the result of a probe by this entry or a peer."""
         contact = self._get(target)
         contact.reported = load
         if is_leaving:
@@ -103,42 +103,42 @@
         contact.unhealthy_until = 0.0 if is_healthy else now + REPORT_MEMORY_S
 
     def mark_leaving(self, target: str, *, now: float) -> None:
-        """Believe that a target leaves, whoever said so."""
+        """Record that a target is leaving, from any source."""
         self._get(target).leaving_until = now + LEAVING_MEMORY_S
 
     def mark_cold(self, target: str, *, now: float) -> None:
-        """Start the ramp of a target that is new or came back."""
+        """Start the ramp of a target that is new or has come back."""
         self._get(target).cold_since = now
 
     def is_leaving(self, target: str, now: float) -> bool:
-        """Check whether a target takes no new work."""
+        """Check whether a target is leaving and must get no new requests."""
         return self._get(target).leaving_until > now
 
     def has_room_to_try(self, target: str, now: float) -> bool:
-        """Check whether neither probes nor failures speak against a target."""
+        """Check whether a target is neither ejected nor reported as unhealthy."""
         contact = self._get(target)
         return contact.ejected_until <= now and contact.unhealthy_until <= now
 
     def filter_usable(self, targets: Sequence[str], now: float) -> list[str]:
-        """Keep the targets worth trying; leaving ones never are.
+        """Return the healthy targets that are not leaving.
 
-        Where most look broken the measurements are more likely wrong than the
-        targets: then all that are not leaving stay in, so that ejection never
-        takes more than half of a set.
+        If most targets look broken, the measurements are more likely wrong than the targets: then
+        all that are not leaving are returned, so that ejection never removes more than half of a
+        set.
         """
         staying = [t for t in targets if not self.is_leaving(t, now)]
         good = [t for t in staying if self.has_room_to_try(t, now)]
         return good if len(good) * 2 >= len(staying) else staying
 
     def get_ramp(self, target: str, now: float) -> float:
-        """Return the share of room to use, rising while a target is cold."""
+        """Return the share of a target's slots to use, which rises to 1 while it is cold."""
         since = self._get(target).cold_since
         if since is None or now - since >= RAMP_S:
             return 1.0
         return RAMP_FLOOR + (1.0 - RAMP_FLOOR) * (now - since) / RAMP_S
 
     def view(self, target: str, *, in_flight: int, share: int, now: float) -> TargetView:
-        """Build what the policy sees."""
+        """Build the view of a target for the routing policy."""
         contact = self._get(target)
         ramp = self.get_ramp(target, now)
         return TargetView(target, in_flight, share, contact.latency_s, ramp, contact.reported)
--- a/halldoor/core/hall/link.py
+++ b/halldoor/core/hall/link.py
@@ -6,7 +6,7 @@
 
 
 class LinkLimit(NamedTuple):
-    """What a link may carry at once, as the operators set it.
+    """Limits on what is in flight on a link, as the operators set them.
 
     Attributes
     ----------
@@ -21,19 +21,19 @@
 
 
 class LinkShare:
-    """This entry's even share of a link.
+    """This entry's even share of a link's limit, and what is in flight of it.
 
-    The limit is divided evenly over the entries of the sending hall, so that the
-    sum of the shares never exceeds the limit, whoever is cut off from whom.
+    The limit is divided evenly over the entries of the sending hall, so that the sum of the shares
+    never exceeds the limit, even while entries can't reach each other.
 
     Parameters
     ----------
     limit : LinkLimit
         Limit of the whole link.
     entries : int
-        Entries of the hall that share it.
+        Number of entries of the hall that share the link.
     index : int
-        Place of this entry in the roster; the first ones get the remainder.
+        Index of this entry in the roster; the first ones get the remainder.
     """
 
     def __init__(self, limit: LinkLimit, *, entries: int, index: int) -> None:
@@ -42,12 +42,12 @@
         self.set_limit(limit, entries=entries, index=index)
 
     def set_limit(self, limit: LinkLimit, *, entries: int, index: int) -> None:
-        """Take a new limit; what is in flight stays counted."""
+        """Set another limit; requests in flight stay counted."""
         self.requests_limit = _divide(limit.requests, entries, index)
         self.bytes_limit = _divide(limit.bytes, entries, index)
 
     def reserve(self, size: int) -> bool:
-        """Reserve room for one request with ``size`` body bytes in flight."""
+        """Reserve the link for a request with ``size`` body bytes; return False if it is full."""
         if self.requests + 1 > self.requests_limit or self.bytes + size > self.bytes_limit:
             return False
         self.requests += 1
@@ -55,12 +55,12 @@
         return True
 
     def release(self, size: int) -> None:
-        """Give back what `reserve` took."""
+        """Release what `reserve` reserved for a request with ``size`` body bytes."""
         self.requests -= 1
         self.bytes -= size
 
 
 def _divide(limit: int, entries: int, index: int) -> int:
-    """Divide a limit evenly; the first places get the remainder."""
+    """Return one entry's part of an evenly divided limit; the first entries get the remainder."""
     whole, rest = divmod(limit, max(1, entries))
     return whole + (1 if index < rest else 0)
--- a/halldoor/core/hall/membership.py
+++ b/halldoor/core/hall/membership.py
@@ -1,6 +1,7 @@
-"""Who is alive in the hall, by heartbeats that entries pass on.
+"""Liveness of the hall's entries, from heartbeats that entries pass on to each other.
 
-Liveness steers look-ups, loans and relays; it never grants slots or tickets.
+Liveness decides which entries are asked for look-ups and loans and which serve as relays; it never
+decides who owns a slot or a ticket.
 """
 
 from __future__ import annotations
@@ -14,18 +15,18 @@
 
 
 class TargetReport(NamedTuple):
-    """What one entry last saw of one target.
+    """The last state of a target that one entry saw.
 
     Attributes
     ----------
     free : int
-        Own idle slots that the reporter could lend.
+        Idle slots of the reporting entry that it could lend.
     is_healthy : bool
-        Its probes were answered.
+        Whether the target answered its probes.
     is_leaving : bool
-        The target, or the platform's host list, said that it leaves.
+        Whether the target, or the platform's host list, stated that it is leaving.
     is_probed : bool
-        The reporter probes it; else only ``free`` counts.
+        Whether the reporting entry probes the target; if not, only ``free`` is valid.
     """
 
     target: str
@@ -36,16 +37,26 @@
 
 
 class Member(NamedTuple):
-    """One entry as the others know it.
+    """The record of one entry, as entries exchange it.
 
     Attributes
     ----------
+    incarnation : str
+        Random id of the entry's process.
     generation : int
-        Rises with every restart under the same name.
+        Number that rises with every restart under the same name.
     heartbeat : int
-        Rises with every period of the process.
+        Number that rises by one with every heartbeat of the process.
     version : int
-        Rises when anything below it changes.
+        Number that rises when any of the following fields changes.
+    revision : int
+        Revision of the configuration that the entry has adopted.
+    is_leaving : bool
+        Whether the entry is shutting down.
+    sees_platform : bool
+        Whether it can reach the platform.
+    reports : tuple of TargetReport
+        Its reports on targets; empty in a record sent as a heartbeat alone.
     """
 
     name: str
@@ -61,17 +72,17 @@
 
     @property
     def age(self) -> tuple[int, int]:
-        """Order two records of the same name."""
+        """Return the key by which the newer of two records of the same name is found."""
         return self.generation, self.heartbeat
 
 
 class Membership:
-    """The members of a hall as seen by one of them.
+    """The local view that one entry has of the members of its hall.
 
     Parameters
     ----------
     me : Member
-        This entry.
+        Record of this entry.
     """
 
     def __init__(self, me: Member) -> None:
@@ -82,50 +93,53 @@
         self.suspect_after_s = SUSPECT_AFTER_S
 
     def beat(self, **changes: Any) -> None:
-        """Advance the own heartbeat, and the version where something changed."""
+        """Advance this entry's heartbeat, and its version if any of ``changes`` is new."""
         me = self.me._replace(**changes)
         version = self.me.version + (me != self.me)
         self.me = me._replace(heartbeat=self.me.heartbeat + 1, version=version)
 
     def adopt(self, members: Iterable[Member], *, now: float) -> None:
-        """Take over what a peer knows, where it is newer."""
+        """Merge the records received from a peer: newer ones replace the local ones."""
         for member in members:
             if member.name == self.me.name:
                 self._outlive(member)
                 continue
             known = self._members.get(member.name)
             if known is not None and member.incarnation != known.incarnation:
-                # A new process knows nothing of what the old one was told.
+                # The new process lacks the records that were sent to the old one.
                 self.forget_sent(member.name)
             if known is None or member.age > known.age:
                 self._members[member.name] = _keep_reports(member, known)
                 self._heard[member.name] = now
 
     def _outlive(self, member: Member) -> None:
-        """Rise above an earlier process of the same name, whatever the clock said."""
+        """Raise the own generation above that of an earlier process of the same name.
+
+        The generation derives from the clock at the start, which may have been set back.
+        """
         if member.incarnation != self.me.incarnation and member.generation >= self.me.generation:
             self.me = self.me._replace(
                 generation=member.generation + 1, version=self.me.version + 1
             )
 
     def list_alive(self, now: float) -> list[Member]:
-        """List the peers heard of lately, leaving ones too."""
+        """List the peers with a recent heartbeat, including those that are leaving."""
         return [m for n, m in self._members.items() if now - self._heard[n] <= self.suspect_after_s]
 
     def is_alive(self, name: str, now: float) -> bool:
-        """Check whether a peer was heard of lately."""
+        """Check whether a peer's last heartbeat is recent."""
         return name in self._heard and now - self._heard[name] <= self.suspect_after_s
 
     def list_leaving(self) -> list[str]:
-        """List the peers that said they leave and were not heard of as new since."""
+        """List the peers whose newest record states that they are leaving."""
         return sorted(n for n, m in self._members.items() if m.is_leaving)
 
     def find(self, name: str) -> Member | None:
-        """Find a member, alive or not."""
+        """Return the record of a member, alive or not; None if there is none."""
         return self.me if name == self.me.name else self._members.get(name)
 
     def list_news(self, peer: str) -> list[Member]:
-        """List the hall's records for a peer: whole where it lacks them, else without reports."""
+        """List the hall's records to send to a peer; without reports where it has these already."""
         sent = self._sent.setdefault(peer, {})
         news = []
         for member in [self.me, *self._members.values()]:
@@ -137,20 +151,26 @@
         return news
 
     def forget_sent(self, peer: str) -> None:
-        """Send whole records again after an exchange that failed."""
+        """Forget what was sent to a peer, so that complete records are sent to it again."""
         self._sent.pop(peer, None)
 
     def choose_relays(self, revision: int, *, now: float, count: int = 2) -> list[str]:
-        """Choose who watches the platform for the hall while ``revision`` is in force."""
+        """Choose the entries that watch the platform for the hall, for one revision.
+
+        Returns
+        -------
+        list of str
+            Names of ``count`` entries, or fewer if there are not as many.
+        """
         members = [m for m in [self.me, *self.list_alive(now)] if not m.is_leaving]
-        # One that lost the platform makes way for one that sees it, as long as there is one.
+        # Entries that can't reach the platform are chosen only if no entry can.
         seeing = [m.name for m in members if m.sees_platform]
         names = seeing or [m.name for m in members] or [self.me.name]
         return rank(f"relay\0{revision}", names)[:count]
 
 
 def _keep_reports(member: Member, known: Member | None) -> Member:
-    """Keep the reports of a record that came as a heartbeat alone."""
+    """Add the known reports to a record that was sent as a heartbeat alone."""
     if known is None or member.reports:
         return member
     is_same = (member.generation, member.version) == (known.generation, known.version)
--- a/halldoor/core/hall/policy.py
+++ b/halldoor/core/hall/policy.py
@@ -1,4 +1,4 @@
-"""Policies that order the usable targets of a hall; the first with a slot is taken."""
+"""Routing policies: orders of a hall's usable targets, of which the first with a slot is used."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class RandomSource(Protocol):
-    """What a policy needs of a source of randomness, such as `random.Random`."""
+    """Interface of a source of randomness, such as `random.Random`."""
 
     def shuffle(self, x: Any) -> None:
         """Shuffle a list in place."""
 
 
 class Policy(ABC):
-    """Order candidates, best first.
+    """Base class of policies that order candidate targets, best first.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
         Raises
         ------
         SettingsError
-            Where there is no such policy.
+            If there is no such policy.
         """
         kinds: dict[str, type[Policy]] = {
             "two-choices": TwoChoices,
@@ -56,37 +56,37 @@
 
 
 class TwoChoices(Policy):
-    """Compare two random candidates by own load and recent latency."""
+    """Policy that takes the better of two random targets, by this entry's load and latency."""
 
     def order(self, views: Sequence[TargetView]) -> list[str]:
-        """Order by repeated comparison of two random candidates."""
+        """Order the better of two random targets first, and the others by cost."""
         rest = list(views)
         self._random.shuffle(rest)
         if len(rest) >= 2 and _cost(rest[1]) < _cost(rest[0]):
             rest[0], rest[1] = rest[1], rest[0]
-        # The others are spares for when the first has no slot: by cost.
+        # The others are used only if the first has no free slot.
         return [v.name for v in [*rest[:1], *sorted(rest[1:], key=_cost)]]
 
 
 class RandomOrder(Policy):
-    """Take any."""
+    """Policy that orders targets at random."""
 
     def order(self, views: Sequence[TargetView]) -> list[str]:
-        """Shuffle."""
+        """Return the targets in random order."""
         names = [v.name for v in views]
         self._random.shuffle(names)
         return names
 
 
 class RoundRobin(Policy):
-    """Take each in turn."""
+    """Policy that starts with the next target each time."""
 
     def __init__(self, random: RandomSource) -> None:
         super().__init__(random)
         self._turn = 0
 
     def order(self, views: Sequence[TargetView]) -> list[str]:
-        """Rotate by one."""
+        """Return the targets sorted by name, rotated by one more than the last time."""
         names = sorted(v.name for v in views)
         self._turn += 1
         start = self._turn % len(names) if names else 0
@@ -94,17 +94,17 @@
 
 
 class LeastReported(Policy):
-    """Believe the load that targets report."""
+    """Policy that prefers the target with the lowest reported load."""
 
     def order(self, views: Sequence[TargetView]) -> list[str]:
-        """Sort by reported load."""
+        """Return the targets by reported load, lowest first."""
         return [v.name for v in sorted(views, key=lambda v: (v.reported, v.name))]
 
 
 def _cost(view: TargetView) -> float:
     """Estimate the cost of one more request on a target.
 
-    Own counts lead, since reports lag; a cold target counts as smaller.
+    The cost uses this entry's own counts, since reports lag.  A cold target counts as smaller.
     """
     room = max(1, view.share) * view.ramp
     fill = (view.in_flight + 1) / room
--- a/halldoor/core/hall/slots.py
+++ b/halldoor/core/hall/slots.py
@@ -1,11 +1,11 @@
 """Slots of the hall's targets, divided among the hall's entries.
 
-Each slot of a target has one home entry, by rendezvous hash over the roster in
-the configuration.  A home uses its slots itself or lends one to a peer for one
-request, for no longer than that request can last.  A lender that hears nothing
-waits until the loan has lapsed plus a clock margin; a borrower counts the loan
-from before it asked, so its end always comes first.  Both sides of a cut
-therefore keep to disjoint slots.  See docs/design/slots.md.
+Each slot of a target has one home entry, by rendezvous hash over the roster in the configuration.
+The home entry uses the slot itself or lends it to a peer for one request, for no longer than that
+request can last.  A lender that gets no answer takes the slot back when the loan has expired plus a
+clock margin.  A borrower counts the loan from before it asked for it, so the loan always expires
+first at the borrower.  Entries that can't reach each other therefore never use the same slot.  See
+docs/design/slots.md.
 """
 
 from __future__ import annotations
@@ -16,13 +16,14 @@
 from halldoor.core.placement import rank
 
 CLOCK_MARGIN = 0.02
-"""Share by which a loan is held longer at the lender than at the borrower (clock drift)."""
+"""Share by which a loan lasts longer at the lender than at the borrower, against clock drift."""
 CLOCK_MARGIN_S = 0.2
-"""Seconds added to it, for scheduling."""
+"""Time by which a loan lasts longer at the lender in addition, in seconds, against delays in
+scheduling."""
 
 
 class SlotKey(NamedTuple):
-    """One slot: target name and number from 0."""
+    """The identity of a slot: name of its target, and number from 0."""
 
     target: str
     number: int
@@ -36,11 +37,11 @@
     key : SlotKey
         The slot that is held.
     lender : str
-        Name of the entry that lent it, or empty where this entry is its home.
+        Name of the entry that lent it, or empty if this entry is its home.
     loan : int
-        Number of the loan at the lender.
+        Number of the loan at the lender; 0 if this entry is the slot's home.
     until : float
-        Monotonic seconds at this entry after which nothing may be sent on it.
+        Monotonic time at this entry, in seconds, after which no request may be sent on the slot.
     """
 
     key: SlotKey
@@ -50,7 +51,15 @@
 
 
 class Loan(NamedTuple):
-    """A slot that this entry lent to a peer."""
+    """A slot that this entry has lent to a peer.
+
+    Attributes
+    ----------
+    number : int
+        Number of the loan at this entry, from 1.
+    ends : float
+        Monotonic time at which the slot returns to this entry, in seconds.
+    """
 
     key: SlotKey
     borrower: str
@@ -61,15 +70,15 @@
 def assign_homes(target: str, slots: int, roster: Sequence[str]) -> list[str]:
     """Return the home entry of every slot of a target.
 
-    Slots go round the roster in rendezvous order, so that no entry has more than
-    one slot more than another and different targets start at different entries.
+    Slots are assigned round-robin in the rendezvous order of the roster, so that entries differ by
+    at most one slot and different targets start at different entries.
     """
     order = rank(target, roster)
     return [order[i % len(order)] for i in range(slots)] if order else []
 
 
 class SlotTable:
-    """The slots that this entry is home to, and the loans of them.
+    """The slots that this entry is home to, and its loans of them.
 
     Parameters
     ----------
@@ -79,13 +88,13 @@
 
     def __init__(self, me: str) -> None:
         self.me = me
-        # Slots free for use, each with the time before which it must rest.
+        # Free slots by target and number, each with the time before which it must not be used.
         self._free: dict[str, dict[int, float]] = {}
         self._busy: dict[SlotKey, float] = {}
         self._loans: dict[int, Loan] = {}
         self._next_loan = 1
         self._homes: dict[str, frozenset[int]] = {}
-        # Slots that wait for former homes to adopt the roster, with the names of those.
+        # Slots that can't be used before their former home entries have adopted the roster.
         self._pending: dict[SlotKey, frozenset[str]] = {}
         self._rest_s: dict[str, float] = {}
 
@@ -107,13 +116,13 @@
         roster : sequence of str
             Names of the hall's entries.
         now : float
-            Monotonic seconds.
+            Monotonic time, in seconds.
         rest_s : mapping of str to float
-            Longest time a request to the target can last.  A slot that is new to
-            this entry rests that long, since its last home, or an earlier process
-            of this name, may still have a request running on it.
+            Longest time that a request to each target can last, in seconds.  A slot that is new to
+            this entry is not used for that long, since a request of its last home entry, or of an
+            earlier process of this name, may still be running on it.
         former : sequence of sequence of str, optional
-            Earlier rosters whose members may not know the present one yet.
+            Earlier rosters whose members may not have adopted the current one yet.
         """
         self._rest_s = dict(rest_s)
         for target, count in slots.items():
@@ -126,7 +135,13 @@
             self._adopt(target, {}, now=now)
 
     def _adopt(self, target: str, waits: Mapping[int, frozenset[str]], *, now: float) -> None:
-        """Replace the own slots of one target; each with the former homes to wait for."""
+        """Replace this entry's slots of one target.
+
+        Parameters
+        ----------
+        waits : mapping of int to frozenset of str
+            Number of each slot, with the former home entries that must adopt the roster first.
+        """
         known = self._homes.get(target, frozenset())
         free = self._free.setdefault(target, {})
         for i in known - waits.keys():
@@ -144,16 +159,17 @@
                 free[i] = now + _add_margin(self._rest_s.get(target, 0.0))
 
     def confirm(self, adopted: Collection[str], *, now: float) -> None:
-        """Free the slots whose former homes have all adopted the roster.
+        """Free the slots whose former home entries have all adopted the roster.
 
-        What those sent before may still run, so the slots rest first.
+        Requests of those entries may still be running, so the slots are not used for the longest
+        time of a request.
 
         Parameters
         ----------
         adopted : collection of str
-            Entries known to have adopted it, or known to be stopped.
+            Entries that are known to have adopted the roster or to be stopped.
         now : float
-            Monotonic seconds.
+            Monotonic time, in seconds.
         """
         for key, names in list(self._pending.items()):
             if names.issubset(adopted):
@@ -162,11 +178,17 @@
                 self._free[key.target][key.number] = now + rest_s
 
     def list_pending(self) -> frozenset[str]:
-        """List the former homes that slots wait for."""
+        """Return the former home entries that slots wait for."""
         return frozenset(name for names in self._pending.values() for name in names)
 
     def acquire(self, target: str, *, now: float, until: float) -> Hold | None:
-        """Take one of this entry's own slots for a request that ends by ``until``."""
+        """Acquire one of this entry's own slots for a request that ends by ``until``.
+
+        Returns
+        -------
+        Hold or None
+            None if no own slot is free.
+        """
         index = self._pick(target, now)
         if index is None:
             return None
@@ -176,12 +198,19 @@
         return Hold(key, "", 0, until)
 
     def release(self, key: SlotKey, *, rest_until: float = 0.0) -> None:
-        """Return an own slot back; it rests until ``rest_until`` where work may go on."""
+        """Release an own slot.
+
+        Parameters
+        ----------
+        rest_until : float, optional
+            Monotonic time before which the slot is not used again, in seconds, for a request that
+            may still be running at the target.
+        """
         if self._busy.pop(key, None) is not None:
             self._put_back(key, rest_until)
 
     def lend(self, target: str, borrower: str, *, duration_s: float, now: float) -> Loan | None:
-        """Lend an idle slot to a peer for ``duration_s`` of the borrower's clock."""
+        """Lend an idle slot to a peer for ``duration_s`` of its clock; None if no slot is idle."""
         index = self._pick(target, now)
         if index is None:
             return None
@@ -194,14 +223,14 @@
         return loan
 
     def end_loan(self, number: int, borrower: str, *, rest_until: float = 0.0) -> None:
-        """Take a lent slot back from the borrower that returns it."""
+        """End a loan whose borrower returns the slot; see `release` for ``rest_until``."""
         loan = self._loans.get(number)
         if loan is not None and loan.borrower == borrower:
             del self._loans[number]
             self._put_back(loan.key, rest_until)
 
     def expire_loans(self, now: float) -> list[Loan]:
-        """Take back the loans that have lapsed."""
+        """End and return the loans that have expired."""
         lapsed = [loan for loan in self._loans.values() if loan.ends <= now]
         for loan in lapsed:
             del self._loans[loan.number]
@@ -209,19 +238,19 @@
         return lapsed
 
     def _pick(self, target: str, now: float) -> int | None:
-        """Find a free slot that has rested long enough."""
+        """Return the number of a free slot that may be used now; None if there is none."""
         for index, rest_until in self._free.get(target, {}).items():
             if rest_until <= now:
                 return index
         return None
 
     def _put_back(self, key: SlotKey, rest_until: float) -> None:
-        """Make a slot free again, if it is still this entry's."""
+        """Make a slot free again if this entry is still its home."""
         if key.number in self._homes.get(key.target, frozenset()):
             self._free[key.target][key.number] = rest_until
 
     def count_free(self, target: str, now: float) -> int:
-        """Count own slots that could be taken now."""
+        """Count own slots that could be acquired now."""
         return sum(1 for rest in self._free.get(target, {}).values() if rest <= now)
 
     def count_busy(self, target: str) -> int:
@@ -237,7 +266,7 @@
         return len(self._homes.get(target, frozenset()))
 
     def is_consistent(self) -> bool:
-        """Check whether every own slot is in exactly one place."""
+        """Check that every own slot is exactly one of free, busy, lent and pending."""
         lent = [loan.key for loan in self._loans.values()]
         free = [SlotKey(t, i) for t, indexes in self._free.items() for i in indexes]
         everything = [*lent, *free, *self._busy, *self._pending]
@@ -245,5 +274,5 @@
 
 
 def _add_margin(duration_s: float) -> float:
-    """Lengthen a duration by the clock margin."""
+    """Return a duration in seconds lengthened by the clock margin; 0 stays 0."""
     return duration_s * (1.0 + CLOCK_MARGIN) + CLOCK_MARGIN_S if duration_s > 0 else 0.0
--- a/halldoor/core/orders/__init__.py
+++ b/halldoor/core/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that run at most once: tickets, and claims of an operation's id."""
+"""Requests that run at most once: single-use tickets, and claims of operation ids."""
--- a/halldoor/core/orders/claim.py
+++ b/halldoor/core/orders/claim.py
@@ -1,10 +1,10 @@
-"""Claims on the callers' own operation ids, kept in the platform.
+"""Claims of operation ids that callers choose, stored in the platform.
 
-A claim says which entry process issued the ticket for an id.  Claims live in a
-fixed number of shards, by hash of the id; one compare-and-swap takes many of
-them.  Ids carry their time (UUID version 7), and each shard has a floor: when it
-is full the oldest claims go and the floor rises to the youngest of those.  An id
-at or below the floor is answered "outcome unknown", so no clock decides.
+A claim states which entry process issued the ticket for an operation id.  Claims are stored in a
+fixed number of shards, by hash of the id; one compare-and-swap adds several claims to a shard.  Ids
+contain their time (UUID version 7), and each shard has a floor: when the shard is full, the oldest
+claims are dropped and the floor rises to the newest of the dropped ones.  An id at or below the
+floor is answered "outcome unknown", so the decision doesn't depend on any clock.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 SHARDS = 64
 CLAIMS_PER_SHARD = 6_000
-"""At about 90 bytes a claim, well below the megabyte that the platform takes."""
+"""Most claims in a shard: at about 90 bytes each, well below the platform's limit of 1 MB."""
 
 
 class Claim(NamedTuple):
-    """Who may issue tickets for an operation id."""
+    """The entry process that may issue tickets for an operation id: entry name and process id."""
 
     issuer: str
     incarnation: str
 
 
 class Shard(msgspec.Struct, frozen=True):
-    """The value of one shard key.
+    """The stored value of a shard.
 
     Attributes
     ----------
     floor_ms : int
-        Unix milliseconds; ids of this age or older are no longer known.
+        Unix milliseconds; claims of ids with this time or an earlier one have been dropped.
     claims : dict of str to Claim
         Claim by operation id.
     """
@@ -45,15 +45,15 @@
 
 
 class Claimed(NamedTuple):
-    """Outcome of claiming some ids in one shard."""
+    """The outcome of claiming ids in one shard."""
 
     shard: Shard
     holders: dict[str, Claim | None]
-    """The holder of each id; None where the id is below the floor."""
+    """Claim in force for each id; None for an id that has no time or is at or below the floor."""
 
 
 def parse_time_ms(operation: str) -> int | None:
-    """Read the time of a version 7 UUID in Unix milliseconds; None for anything else."""
+    """Return the time in a version 7 UUID, in Unix milliseconds; None for any other text."""
     try:
         value = UUID(operation)
     except ValueError:
@@ -69,27 +69,27 @@
 
 
 def to_key(shard: int) -> str:
-    """Name the platform key of a shard."""
+    """Return the platform key of a shard."""
     return f"claims/{shard:02d}"
 
 
 def decode_shard(value: bytes | None) -> Shard:
-    """Read a shard; a missing one is empty."""
+    """Decode a shard; a missing one (None) is empty."""
     return Shard() if value is None else msgspec.msgpack.decode(value, type=Shard)
 
 
 def encode_shard(shard: Shard) -> bytes:
-    """Write a shard."""
+    """Encode a shard."""
     return msgspec.msgpack.encode(shard)
 
 
 def claim(shard: Shard, operations: Iterable[str], me: Claim) -> Claimed:
-    """Claim ids for one entry process; an id that has a holder keeps it.
+    """Claim operation ids for one entry process; ids that are claimed already keep their claim.
 
     Returns
     -------
     Claimed
-        The new shard, to be committed by compare-and-swap, and each id's holder.
+        The new shard, to be stored by compare-and-swap, and the claim in force for each id.
     """
     claims = dict(shard.claims)
     holders: dict[str, Claim | None] = {}
@@ -111,9 +111,10 @@
 def _drop_oldest(
     claims: dict[str, Claim], floor_ms: int, *, keep: set[str]
 ) -> tuple[dict[str, Claim], int]:
-    """Drop the older half and raise the floor above all that was dropped.
+    """Drop the older half of the claims and raise the floor to the newest of the dropped ones.
 
-    Ids being claimed now stay even when old: their holder is about to rely on them.
+    The ids in ``keep`` are being claimed now and stay even when old: their holder will rely on
+    them.
     """
     by_age = sorted(claims, key=lambda op: parse_time_ms(op) or 0)
     dropped = [op for op in by_age[: len(by_age) // 2] if op not in keep]
--- a/halldoor/core/steering/__init__.py
+++ b/halldoor/core/steering/__init__.py
@@ -1,1 +1,1 @@
-"""What operators write: configuration, selectors, shifts, and who may change them."""
+"""The operators' configuration: its model, selectors, shifts, revisions, audit and permissions."""
--- a/halldoor/core/steering/audit.py
+++ b/halldoor/core/steering/audit.py
@@ -1,4 +1,4 @@
-"""Audit records: who changed what, when, from what, to what."""
+"""Audit records of configuration changes, and the differences that they list."""
 
 from __future__ import annotations
 
@@ -9,14 +9,22 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True):
-    """One change, or one that was refused.
+    """The record of an accepted or refused change of the configuration.
 
     Attributes
     ----------
+    revision : int
+        Revision that the change made; 0 if it was refused.
+    change_id : str
+        Id of the change.
+    who, when : str
+        Team that made the change, and time of the change.
+    verb, outcome : str
+        Kind of change, and ``accepted`` or the reason of the refusal.
     previous : str
-        Digest of the record before it, so that the trail can't be cut unseen.
+        Digest of the preceding record, so that a missing record is noticed.
     before, after : list
-        The values that differ, as ``path: value`` lines.
+        The old and new values that differ, as ``path: value`` lines.
     """
 
     revision: int
@@ -31,14 +39,14 @@
 
 
 class Difference(NamedTuple):
-    """One value that differs between two configurations."""
+    """One value that differs between two configurations; None where it is absent."""
 
     path: str
     before: Any
     after: Any
 
     def to_text(self) -> str:
-        """Write it as one line for people."""
+        """Format the difference as one line: ``+`` added, ``-`` removed, ``~`` changed."""
         if self.before is None:
             return f"+ {self.path}: {_shorten(self.after)}"
         if self.after is None:
@@ -47,9 +55,14 @@
 
 
 def compare(before: Any, after: Any, path: str = "") -> Iterator[Difference]:
-    """Yield what differs between two pieces of plain data.
+    """Yield the differences between two values of plain data (as from JSON).
 
-    Lists of named things are compared by name, other lists as a whole.
+    Lists of named mappings are compared by name, other lists as a whole.
+
+    Parameters
+    ----------
+    path : str, optional
+        Path of both values, the prefix of the paths in the differences.
     """
     if before == after:
         return
@@ -66,7 +79,7 @@
 
 
 def _index(value: Any) -> dict[str, Any] | None:
-    """View a mapping, or a list of named things, as a mapping."""
+    """Return a mapping, or a list of named mappings, as a mapping by name; else None."""
     if isinstance(value, dict):
         return value
     if isinstance(value, list) and value and all(isinstance(v, dict) for v in value):
@@ -77,13 +90,13 @@
 
 
 def _get_name(value: dict[str, Any]) -> str:
-    """Name one element of a list."""
+    """Return the name of a list element: its link, name or hall; empty if it has none."""
     if "origin" in value:
         return f"{value['origin']}->{value.get('destination')}"
     return str(value.get("name") or value.get("hall") or "")
 
 
 def _shorten(value: Any, limit: int = 160) -> str:
-    """Write a value in one short line."""
+    """Format a value as JSON, cut to ``limit`` characters."""
     text = msgspec.json.encode(value).decode()
     return text if len(text) <= limit else text[: limit - 1] + "…"
--- a/halldoor/core/steering/block.py
+++ b/halldoor/core/steering/block.py
@@ -1,8 +1,8 @@
-"""Client blocks as packed arrays: which hall is near a caller.
+"""Client blocks (IPv4 networks and the hall nearest to each) as packed arrays.
 
-2.5 million blocks take 15 MB packed and many times that as objects.  The table
-is cut into chunks by address range, so that a change ships only the chunks that
-it touches, and a whole new table is taken chunk by chunk without doubling memory.
+2.5 million blocks take 15 MB packed and many times that as objects.  The table is split into chunks
+by address range, so that a change transfers only the chunks that it affects, and a whole new table
+is loaded chunk by chunk without doubling memory.
 """
 
 from __future__ import annotations
@@ -16,21 +16,24 @@
 from halldoor.core.errors import SettingsError
 
 CHUNK_BLOCKS = 8_192
-"""Rows in one chunk at most: 49 kB."""
+"""Most rows in one chunk: 49 kB."""
 NO_HALL = 0xFFFF
 _ROW_BYTES = 6
 _SPACE_BITS = 32
 
 
 class BlockMatch(NamedTuple):
-    """A block found: its first address and the number of its hall."""
+    """The block that holds an address: its first address and the number of its hall."""
 
     start: int
     hall: int
 
 
 class _Chunk(NamedTuple):
-    """A run of rows; the views share the memory of the bytes they came in."""
+    """Rows of one address range (``end`` excluded); the views share the memory of the packed bytes.
+
+    Each row is the first address of a block and the number of its hall, `NO_HALL` for a gap.
+    """
 
     first: int
     end: int
@@ -39,7 +42,7 @@
 
 
 class BlockTable:
-    """Map IPv4 addresses to hall numbers.
+    """Map from IPv4 addresses to hall numbers.
 
     Readers need no lock: the list of chunks is replaced as a whole.
     """
@@ -52,12 +55,12 @@
         return sum(len(chunk.starts) for chunk in self._chunks)
 
     def replace(self, name: str, data: bytes) -> None:
-        """Take one chunk in place of all that it overlaps.
+        """Add a chunk and remove all chunks that it overlaps.
 
         Parameters
         ----------
         name : str
-            Address range, as `pack_blocks` names it.
+            Address range of the chunk, in the form returned by `pack_blocks`.
         data : bytes
             First addresses (uint32) and then hall numbers (uint16).
         """
@@ -70,24 +73,27 @@
         self._set(chunks)
 
     def keep_only(self, names: Iterable[str]) -> None:
-        """Drop the chunks that are not among the names."""
+        """Remove all chunks except those with the given names."""
         ranges = {parse_range(name) for name in names}
         self._set([c for c in self._chunks if (c.first, c.end) in ranges])
 
     def _set(self, chunks: list[_Chunk]) -> None:
-        """Put a new list in force; the two lists may differ for an instant."""
+        """Replace the lists of chunks and of their first addresses.
+
+        A concurrent reader may see the two lists differ; see `find`.
+        """
         self._firsts = []
         self._chunks = chunks
         self._firsts = [c.first for c in chunks]
 
     def find(self, address: int) -> BlockMatch | None:
-        """Find the block that holds an IPv4 address given as an integer."""
+        """Return the block that holds an IPv4 address, given as an integer; None if none does."""
         i = bisect_right(self._firsts, address) - 1
         if i < 0:
             return None
         try:
             chunk = self._chunks[i]
-        except IndexError:  # the list was replaced in between; a miss is harmless
+        except IndexError:  # The list was replaced meanwhile; a miss is harmless.
             return None
         row = bisect_right(chunk.starts, address) - 1
         if row < 0 or address >= chunk.end:
@@ -97,7 +103,7 @@
 
 
 def parse_range(name: str) -> tuple[int, int]:
-    """Read a chunk's name, ``START-BITS``: its first address and its end."""
+    """Parse a chunk's name, ``START-BITS``, into its first address and its end (excluded)."""
     start, _, bits = name.partition("-")
     first = int(start, 16)
     return first, first + (1 << int(bits))
@@ -119,7 +125,7 @@
     Raises
     ------
     SettingsError
-        Where blocks overlap or are no IPv4 CIDR.
+        If blocks overlap or one is not an IPv4 CIDR.
     """
     starts, halls = array("I"), array("H")
     end = 0
@@ -143,7 +149,7 @@
 def _cut(
     starts: array[int], halls: array[int], first: int, bits: int
 ) -> Iterator[tuple[str, bytes]]:
-    """Halve an address range until its rows fit a chunk."""
+    """Yield the chunks of an address range, halving it until the rows fit a chunk."""
     low = bisect_left(starts, first)
     high = bisect_left(starts, first + (1 << bits))
     if high - low >= CHUNK_BLOCKS and bits > 0:
@@ -151,7 +157,7 @@
         yield from _cut(starts, halls, first + (1 << (bits - 1)), bits - 1)
         return
     rows, numbers = starts[low:high], halls[low:high]
-    # A block that reaches in from the left starts again at the chunk's edge.
+    # A block that begins before the range is split: the chunk starts with its remainder.
     if (not rows or rows[0] > first) and low > 0 and halls[low - 1] != NO_HALL:
         rows.insert(0, first)
         numbers.insert(0, halls[low - 1])
@@ -160,7 +166,7 @@
 
 
 def unpack_blocks(chunks: dict[str, bytes]) -> Iterator[tuple[str, int]]:
-    """Turn chunks back into CIDR blocks with hall numbers."""
+    """Yield the CIDR blocks and hall numbers of packed chunks."""
     for name, data in sorted(chunks.items(), key=lambda item: parse_range(item[0])):
         count = len(data) // _ROW_BYTES
         view = memoryview(data)
@@ -173,7 +179,13 @@
 
 
 def _to_range(cidr: str, hall: int) -> tuple[int, int, int, str]:
-    """Turn a CIDR into first and last address."""
+    """Return first address, last address, hall and text of a CIDR block, in this order.
+
+    Raises
+    ------
+    SettingsError
+        If ``cidr`` is not an IPv4 network.
+    """
     try:
         network = ip_network(cidr)
     except ValueError as exc:
@@ -182,13 +194,14 @@
         ) from exc
     if network.version != 4:
         raise SettingsError(
-            f"Client block {cidr} is not IPv4.", remedy="Give IPv4 blocks; others go by hall."
+            f"Client block {cidr} is not IPv4.",
+            remedy="Give IPv4 blocks; callers with other addresses count as near their entry.",
         )
     return int(network.network_address), int(network.broadcast_address), hall, cidr
 
 
 def parse_address(text: str) -> int | None:
-    """Read an IPv4 address as an integer; None for anything else."""
+    """Parse an IPv4 address into an integer; return None for other text."""
     try:
         return int(IPv4Address(text))
     except ValueError:
--- a/halldoor/core/steering/configuration.py
+++ b/halldoor/core/steering/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: what they label, select, shift and limit."""
+"""Model of the operators' configuration, and checks that its parts fit together."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all parts of the configuration."""
+    """Base class of the parts of the configuration."""
 
 
 class Region(_Model, frozen=True, kw_only=True):
@@ -30,7 +30,7 @@
 
 
 class EntryHost(_Model, frozen=True, kw_only=True):
-    """One entry host of a hall."""
+    """A host that runs an entry, with its addresses for callers (HTTP) and for other entries."""
 
     name: Name
     http: Address
@@ -40,17 +40,17 @@
 class Hall(_Model, frozen=True, kw_only=True):
     """A hall with its entry hosts.
 
-    A slot moves to another entry only after its last home is known to have adopted
-    the new roster.
+    The roster is the list of the hall's entries.  A slot moves to another entry only after the
+    entry that held it before is known to have adopted the new roster.
 
     Attributes
     ----------
     stopped_entries : list of str
-        Former entries that an operator knows to be stopped for good.
+        Former entries that an operator has declared stopped for good.
     former_rosters : list of list of str
         Earlier rosters, the latest first; written by the administration API.
     roster_revision : int
-        Revision of the present roster; written by the administration API.
+        Revision that introduced the current roster; written by the administration API.
     """
 
     name: Name
@@ -63,7 +63,13 @@
 
 
 class Target(_Model, frozen=True, kw_only=True):
-    """A target: its address, slots and labels."""
+    """A target with its address, number of slots and labels.
+
+    Attributes
+    ----------
+    leaving : bool
+        Whether it is being drained and gets no new requests.
+    """
 
     name: Name
     hall: Name
@@ -79,9 +85,9 @@
     Attributes
     ----------
     repeatable : bool
-        False for what must run at most once.
+        Whether it may run more than once; False for operations that must run at most once.
     deadline_s : float
-        Longest time it may take; callers may ask for less.
+        Longest time it may take, in seconds; callers may ask for less.
     """
 
     name: Name
@@ -97,11 +103,11 @@
     Attributes
     ----------
     selector : str
-        Targets that serve it when no shift applies.
+        Selector of the targets that serve it when no shift applies.
     failover : str
-        More targets that may serve it when those have no room; may be empty.
+        Selector of further targets that may serve it when those have no free slot; may be empty.
     failover_cap : float
-        Greatest share of requests that failover may move.
+        Largest share of requests that failover may move, from 0 to 1.
     """
 
     name: Name
@@ -120,9 +126,9 @@
     to : str
         Selector of the targets that receive them.
     cap : float
-        Greatest share of requests that may move; never exceeded.
+        Largest share of requests that may move, from 0 to 1; never exceeded.
     position : float
-        Share of client blocks chosen so far; moved by ``halldoor shift step``.
+        Share of client blocks chosen so far, from 0 to 1; set by ``halldoor shift step``.
     """
 
     name: Name
@@ -134,7 +140,13 @@
 
 
 class Link(_Model, frozen=True, kw_only=True):
-    """Limits of the link from one hall to another, and its latency one way."""
+    """The link from one hall to another: its one-way latency and its limits.
+
+    Attributes
+    ----------
+    requests, bytes : int
+        Most requests, and most body bytes, in flight on the link.
+    """
 
     origin: Name
     destination: Name
@@ -151,7 +163,15 @@
 
 
 class Team(_Model, frozen=True, kw_only=True):
-    """A team; its tokens may change only its own services."""
+    """A team of operators, whose tokens may change only the team's own services.
+
+    Attributes
+    ----------
+    token_sha256 : list of str
+        SHA-256 digests of its tokens, in hexadecimal.
+    administrator : bool
+        Whether its tokens may change everything.
+    """
 
     name: Name
     token_sha256: list[Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]] = []
@@ -159,7 +179,7 @@
 
 
 class Configuration(_Model, frozen=True, kw_only=True):
-    """Everything the operators set, as one value under one revision."""
+    """The whole configuration that operators set; each change makes a new revision of it."""
 
     regions: list[Region]
     halls: list[Hall]
@@ -172,56 +192,69 @@
 
     @classmethod
     def from_data(cls, data: Any, *, origin: str = "configuration") -> Configuration:
-        """Check plain data and build the configuration.
+        """Build the configuration from plain data, and check it.
+
+        Parameters
+        ----------
+        data : object
+            Plain data, as parsed from YAML or JSON.
+        origin : str, optional
+            Name of its source, for error messages.
 
         Raises
         ------
         SettingsError
-            Names where, what was given, what is wanted and the remedy.
+            If the data is wrong; names the place, the given and the expected value and the remedy.
         """
         configuration = parse(data, cls, origin=origin)
         check_configuration(configuration, origin=origin)
         return configuration
 
     def find_service(self, name: str) -> Service | None:
-        """Find a service by name."""
+        """Return the service with a name; None if there is none."""
         return next((s for s in self.services if s.name == name), None)
 
     def find_hall(self, name: str) -> Hall | None:
-        """Find a hall by name."""
+        """Return the hall with a name; None if there is none."""
         return next((h for h in self.halls if h.name == name), None)
 
     def list_labels(self, target: Target) -> dict[str, str]:
-        """Return a target's labels with those of its hall and region."""
+        """Return a target's labels, including those of its hall and region."""
         return self._list_hall_labels(self.find_hall(target.hall)) | _list_own_labels(target)
 
     def index_labels(self) -> LabelIndex:
-        """Index all targets by their labels, with those of hall and region."""
+        """Build the index of all targets by their labels, including those of hall and region."""
         by_hall = {h.name: self._list_hall_labels(h) for h in self.halls}
         return LabelIndex(
             (t.name, by_hall.get(t.hall, {}) | _list_own_labels(t)) for t in self.targets
         )
 
     def _list_hall_labels(self, hall: Hall | None) -> dict[str, str]:
-        """Return what targets take over from a hall and its region."""
+        """Return the labels that targets inherit from a hall and its region."""
         region = next((r for r in self.regions if hall and r.name == hall.region), None)
         labels = {"region": region.name, **region.labels} if region is not None else {}
         return labels | hall.labels if hall is not None else labels
 
 
 def _list_own_labels(target: Target) -> dict[str, str]:
-    """Return the labels that a target has whatever its hall."""
+    """Return a target's labels without those inherited from its hall and region."""
     return {"target": target.name, "hall": target.hall, **target.labels}
 
 
 def check_configuration(configuration: Configuration, *, origin: str) -> None:
-    """Check what a schema can't: names that must exist, once, and fit together."""
+    """Check what the schema can't express: unique names, valid references, selectors and shifts.
+
+    Raises
+    ------
+    SettingsError
+        For the first problem found.
+    """
     for problem, remedy in _list_problems(configuration):
         raise SettingsError(f"{origin}: {problem}.", remedy=remedy)
 
 
 def _list_problems(c: Configuration) -> Iterator[tuple[str, str]]:
-    """Yield each problem with its remedy."""
+    """Yield the problems of a configuration, each with its remedy."""
     yield from _list_repeats(c)
     halls = {h.name for h in c.halls}
     regions = {r.name for r in c.regions}
@@ -249,7 +282,7 @@
 
 
 def _list_repeats(c: Configuration) -> Iterator[tuple[str, str]]:
-    """Yield names that stand twice."""
+    """Yield a problem for each name that is used more than once."""
     groups = {
         "regions": [r.name for r in c.regions],
         "halls": [h.name for h in c.halls],
@@ -267,7 +300,7 @@
 
 
 def _list_selector_problems(c: Configuration) -> Iterator[tuple[str, str]]:
-    """Yield selectors that can't be read or select nothing."""
+    """Yield a problem for each selector that can't be parsed or selects no target."""
     texts = [
         *((f"services.{s.name}.selector", s.selector) for s in c.services),
         *((f"services.{s.name}.failover", s.failover) for s in c.services if s.failover),
@@ -285,7 +318,7 @@
 
 
 def _list_shift_problems(c: Configuration) -> Iterator[tuple[str, str]]:
-    """Yield shifts past their cap."""
+    """Yield a problem for each shift whose position exceeds its cap."""
     for shift in c.shifts:
         if shift.position > shift.cap:
             yield (
@@ -295,12 +328,12 @@
 
 
 def to_data(configuration: Configuration) -> Any:
-    """Turn the configuration into plain data, for YAML and JSON."""
+    """Convert the configuration to plain data, for YAML and JSON."""
     return msgspec.to_builtins(configuration)
 
 
 def to_shown_data(configuration: Configuration | None) -> Any:
-    """Turn the configuration into plain data for people, with hashes of tokens cut short."""
+    """Convert the configuration to plain data for display, with the digests of tokens shortened."""
     data = to_data(configuration) if configuration is not None else {}
     for team in data.get("teams", []):
         team["token_sha256"] = [f"{digest[:12]}..." for digest in team["token_sha256"]]
--- a/halldoor/core/steering/operation.py
+++ b/halldoor/core/steering/operation.py
@@ -1,4 +1,4 @@
-"""Edits of the configuration that operators make often: shifts and drains."""
+"""Frequent edits of the configuration: changing a shift and draining a target."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 def edit_shift(
     configuration: Configuration, name: str, verb: str, *, position: float | None = None
 ) -> Configuration:
-    """Start, step, pause or take back a shift.
+    """Return the configuration with a shift started, moved on, paused or taken back.
 
     Parameters
     ----------
     configuration : Configuration
-        What is accepted now.
+        The current configuration.
     name : str
         Name of the shift.
     verb : str
@@ -29,7 +29,7 @@
     Raises
     ------
     SettingsError
-        Where the shift can't make that step.
+        If there is no such shift, or the verb or position is not valid for it.
     """
     shift = next((s for s in configuration.shifts if s.name == name), None)
     if shift is None:
@@ -41,7 +41,7 @@
 
 
 def _change_shift(shift: Shift, verb: str, position: float | None) -> Shift:
-    """Change one shift."""
+    """Return a shift changed by a verb; see `edit_shift`."""
     if verb == "start":
         wanted = shift.position if position is None else position
         return _move(shift, wanted, state="running")
@@ -64,22 +64,28 @@
 
 
 def _move(shift: Shift, position: float, *, state: str) -> Shift:
-    """Put a shift at a position within its cap."""
+    """Return a shift at another position and in another state.
+
+    Raises
+    ------
+    SettingsError
+        If the position is not from 0 to the shift's cap.
+    """
     if not 0.0 <= position <= shift.cap:
         raise SettingsError(
             f"Position {position} of shift {shift.name} is not from 0 to its cap {shift.cap}.",
-            remedy="Choose a position within the cap, or raise the cap by apply.",
+            remedy="Choose a position within the cap, or raise the cap with 'halldoor apply'.",
         )
     return msgspec.structs.replace(shift, position=position, state=state)
 
 
 def edit_drain(configuration: Configuration, name: str, *, is_leaving: bool) -> Configuration:
-    """Mark a target as leaving, or take that back.
+    """Return the configuration with a target marked as leaving, or not leaving any more.
 
     Raises
     ------
     SettingsError
-        Where there is no such target.
+        If there is no such target.
     """
     if not any(t.name == name for t in configuration.targets):
         raise SettingsError(
--- a/halldoor/core/steering/permission.py
+++ b/halldoor/core/steering/permission.py
@@ -1,4 +1,4 @@
-"""Who may change what: a team changes its own services, administrators anything."""
+"""Permissions: a team may change its own services, an administrator everything."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from halldoor.core.steering.selector import Selector
 
 BOOTSTRAP = Team(name="bootstrap", administrator=True)
-"""The team of the token in the settings, until a configuration names teams."""
+"""The team of the bootstrap token in the settings, which is valid until a configuration holds an
+administrator with a token."""
 
 
 def find_team(token: str, configuration: Configuration | None, bootstrap_sha256: str) -> Team:
     """Find the team of a bearer token.
 
-    Every known hash is compared, each in constant time, so that the time taken
-    tells nothing about a token.
+    Every known digest is compared, each in constant time, so that the time taken reveals nothing
+    about a token.
 
     Raises
     ------
     PermissionDeniedError
-        Where no team has the token.
+        If no team has the token.
     """
     given = sha256(token.encode()).hexdigest()
     found: Team | None = None
@@ -52,12 +53,12 @@
     before: Configuration | None,
     after: Configuration,
 ) -> None:
-    """Check that a team may make every part of a change.
+    """Check that a team may make every difference of a change.
 
     Raises
     ------
     PermissionDeniedError
-        Names the first part that it may not change.
+        For the first difference that the team may not make.
     """
     if team.administrator:
         return
@@ -70,7 +71,7 @@
 
 
 def _may_change(team: Team, path: str, before: Configuration | None, after: Configuration) -> bool:
-    """Check whether a team may change one path: it must own it before and after."""
+    """Check whether a team may change a path: it must own it before and after the change."""
     kind, _, rest = path.partition(".")
     versions = [c for c in (before, after) if c is not None]
     if kind == "services":
@@ -83,19 +84,19 @@
 
 
 def _owns_service(team: Team, path: str, configuration: Configuration) -> bool:
-    """Check whether a service is the team's, or not there."""
+    """Check whether the service at a path belongs to the team or doesn't exist."""
     owners = [s.team for s in configuration.services if _is_at(path, s.name)]
     return all(owner == team.name for owner in owners)
 
 
 def _owns_shift(team: Team, path: str, configuration: Configuration) -> bool:
-    """Check whether a shift is on the team's service, or not there."""
+    """Check whether the shift at a path is for the team's service or doesn't exist."""
     services = [s.service for s in configuration.shifts if _is_at(path, s.name)]
     return all(_owns_service(team, service, configuration) for service in services)
 
 
 def _owns_target(team: Team, name: str, configuration: Configuration) -> bool:
-    """Check whether only the team's services use a target."""
+    """Check whether the team's services, and no others, select a target by default."""
     target = next((t for t in configuration.targets if t.name == name), None)
     if target is None:
         return False
@@ -107,5 +108,5 @@
 
 
 def _is_at(path: str, name: str) -> bool:
-    """Check whether a path is a name or lies below it; names may hold dots."""
+    """Check whether a path equals a name or lies below it; names may contain dots."""
     return path == name or path.startswith(f"{name}.")
--- a/halldoor/core/steering/revision.py
+++ b/halldoor/core/steering/revision.py
@@ -1,7 +1,7 @@
-"""Revisions: one small head and immutable parts under their digests.
+"""Revisions of the configuration: a small head, and immutable parts stored under their digests.
 
-The head moves by compare-and-swap only and names every part, the last change
-and its audit record, so that a change and its record are committed together.
+The head is replaced by compare-and-swap only.  It names every part, the last change and its audit
+record, so that a change and its record are committed together.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 PART_PREFIX = "config/part/"
 PART_LIMIT = 1_000_000
 BLOCK_INDEX = "block_index"
-"""Part that names the chunks of client blocks and their digests."""
+"""Name of the part that lists the chunks of client blocks with their digests."""
 _TARGETS_PER_PART = 500
 _SECTIONS = ("regions", "halls", "services", "teams", "shifts", "links")
 
@@ -32,9 +32,9 @@
     Attributes
     ----------
     revision : int
-        Rises by one with each accepted change.
+        Number of the revision; rises by one with each accepted change.
     change_id : str
-        Id of the change that made it, so that a lost answer can be read back.
+        Id of the change that made it: an operator whose answer was lost can see that it was made.
     parts : dict of str to str
         Digest of each part by name, such as ``targets/0``.
     audit : str
@@ -55,14 +55,19 @@
 
 
 def digest(data: bytes) -> str:
-    """Name bytes by their content."""
+    """Return the digest under which a part is stored, in hexadecimal."""
     return blake2b(data, digest_size=16).hexdigest()
 
 
 def split_configuration(configuration: Configuration) -> Bundle:
-    """Cut a configuration into parts, each below the platform's limit for a value.
+    """Split a configuration into parts, each below the platform's size limit for a value.
 
-    Large tables go in chunks, so that a small change ships a small part.
+    Large tables are split into chunks, so that a small change transfers a small part.
+
+    Raises
+    ------
+    SettingsError
+        If a part exceeds the limit.
     """
     data = to_data(configuration)
     named: dict[str, Any] = {name: data[name] for name in _SECTIONS}
@@ -89,12 +94,12 @@
 def join_configuration(
     head: Head, parts: Mapping[str, bytes], *, with_blocks: bool = False
 ) -> Configuration:
-    """Build the configuration of a head from its parts.
+    """Build the configuration of a revision from its parts.
 
     Parameters
     ----------
     head : Head
-        The head.
+        Head of the revision.
     parts : mapping of str to bytes
         Parts by digest.
     with_blocks : bool, optional
@@ -103,15 +108,15 @@
     Raises
     ------
     SettingsError
-        Where a part is missing, damaged or wrong.
+        If a part is missing, damaged or wrong.
     """
     data: dict[str, Any] = {name: _read_part(head, parts, name) for name in _SECTIONS}
     data["targets"] = []
     for name in sorted((n for n in head.parts if n.startswith("targets/")), key=_get_number):
         data["targets"] += _read_part(head, parts, name)
     data["client_blocks"] = _list_client_blocks(head, parts, data["halls"]) if with_blocks else []
-    # It was checked before it was committed, and digests vouch for it since; checking
-    # names and selectors again at each entry would cost more than all other control.
+    # Names and selectors were checked before the commit, and digests detect changes since.
+    # Checking them again at each entry would cost more than all its other control work.
     return parse(data, Configuration, origin=f"revision {head.revision}")
 
 
@@ -125,17 +130,17 @@
 
 
 def read_block_index(head: Head, parts: Mapping[str, bytes]) -> dict[str, str]:
-    """Read the digests of the chunks of client blocks by name."""
+    """Return the digests of the chunks of client blocks, by chunk name."""
     return dict(_read_part(head, parts, BLOCK_INDEX))
 
 
 def list_missing(head: Head, parts: Mapping[str, bytes]) -> list[str]:
-    """List the digests an entry still has to fetch for a head."""
+    """List the digests of a head's parts that are not in ``parts`` and must be fetched."""
     return sorted(set(head.parts.values()) - set(parts))
 
 
 def is_newer(head: Head, current: Head | None) -> bool:
-    """Check whether a head may be adopted: revisions never go back."""
+    """Check whether a head is newer than the current one: an entry never goes back."""
     return current is None or head.revision > current.revision
 
 
@@ -145,7 +150,13 @@
 
 
 def _read_part(head: Head, parts: Mapping[str, bytes], name: str) -> Any:
-    """Decode one part and check it against its digest."""
+    """Check a part against its digest and decode it.
+
+    Raises
+    ------
+    SettingsError
+        If the part is missing or damaged.
+    """
     wanted = head.parts.get(name, "")
     value = parts.get(wanted)
     if value is None or digest(value) != wanted:
--- a/halldoor/core/steering/routing.py
+++ b/halldoor/core/steering/routing.py
@@ -1,4 +1,4 @@
-"""Where a request may go, in order, and which caps each step is charged to."""
+"""Order of the halls to try for a request, and the caps that limit moves between them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 
 class Step(NamedTuple):
-    """One hall to try, and why.
+    """A hall to try for a request, with its candidate targets.
 
     Attributes
     ----------
+    selector : str
+        Text of the selector that chose the targets.
+    because : str
+        Reason for trying it: ``default``, ``shift NAME`` or ``failover``.
     charges : tuple of str
-        Names of the meters that must allow the move; empty where it is no move.
+        Names of the caps that must allow the move; empty if the step is not a move.
     """
 
     hall: str
@@ -30,10 +34,10 @@
 def list_steps(view: ServiceView, client: str) -> Iterator[Step]:
     """List the halls to try for a request of a client block, best first.
 
-    A chosen shift comes first, then the halls of the home region, then the other
-    halls of the default selector and of the failover selector.  The last two are
-    moves too: they are charged to the failover cap and to every shift that leads
-    to the same targets, so that all causes together stay below each cap.
+    The halls of a shift that applies come first, then the halls of the home region, then the other
+    halls of the default selector and of the failover selector.  The last two are moves too: they
+    are charged to the failover cap and to every shift to the same targets, so that moves of all
+    kinds together stay below each cap.
     """
     for item in view.shifts:
         if is_chosen(item.shift.name, client, item.shift.position):
@@ -52,7 +56,7 @@
 def _list_moves(
     view: ServiceView, to: Destination, because: str, charges: tuple[str, ...]
 ) -> Iterator[Step]:
-    """List the steps of one move with all the caps that it counts against."""
+    """Yield the steps of a move, each with all the caps that it is charged to."""
     for hall, targets in to.halls.items():
         touched = tuple(
             s.shift.name
@@ -63,13 +67,13 @@
 
 
 class ServiceMeters:
-    """The counts of one service at this entry against all its caps."""
+    """The counts of one service's requests at this entry, for each of its caps."""
 
     def __init__(self) -> None:
         self.meters: dict[str, ShiftMeter] = {FAILOVER: ShiftMeter(1.0)}
 
     def set_caps(self, view: ServiceView) -> None:
-        """Adopt the caps of a revision; meters of shifts that ended are dropped."""
+        """Set the caps of a revision; meters of shifts that no longer run are removed."""
         self.meters[FAILOVER].set_cap(view.service.failover_cap)
         names = {item.shift.name for item in view.shifts}
         for name in [n for n in self.meters if n != FAILOVER and n not in names]:
@@ -85,12 +89,12 @@
             meter.add_request()
 
     def take_move(self, charges: tuple[str, ...]) -> str:
-        """Charge a move to all its meters, or to none.
+        """Charge a move to all its caps if each allows it, else to none.
 
         Returns
         -------
         str
-            Empty where the move is allowed, else the name of the cap that forbids it.
+            Empty if the move is allowed, else the name of the first cap that forbids it.
         """
         for name in charges:
             meter = self.meters.get(name)
--- a/halldoor/core/steering/selector.py
+++ b/halldoor/core/steering/selector.py
@@ -11,7 +11,7 @@
 
 
 class Term(NamedTuple):
-    """One condition on one label."""
+    """A condition on one label: its value must be, or must not be, one of ``values``."""
 
     key: str
     values: tuple[str, ...]
@@ -23,7 +23,7 @@
 
 
 class Selector(NamedTuple):
-    """A conjunction of terms; without terms it matches everything."""
+    """A conjunction of terms; without terms it matches all labels."""
 
     text: str
     terms: tuple[Term, ...]
@@ -40,7 +40,7 @@
         Raises
         ------
         SettingsError
-            Where a term can't be read.
+            If a term can't be parsed.
 
         Examples
         --------
@@ -56,12 +56,12 @@
 
 
 class LabelIndex:
-    """Finds what a selector matches without looking at every item.
+    """Index that finds the matches of a selector without checking every item.
 
     Parameters
     ----------
     items : iterable of (str, mapping)
-        Names with their labels, in the order in which matches are given.
+        Names with their labels, in the order in which `find` lists matches.
     """
 
     def __init__(self, items: Iterable[tuple[str, Mapping[str, str]]]) -> None:
@@ -72,7 +72,7 @@
                 self._by_label.setdefault(label, set()).add(i)
 
     def find(self, selector: Selector) -> list[str]:
-        """List the names whose labels match, in order."""
+        """List the names whose labels match a selector, in the order of the items."""
         found: set[int] | None = None
         for term in selector.terms:
             if not term.negated:
@@ -85,7 +85,13 @@
 
 
 def _parse_term(part: str) -> Term:
-    """Parse one term."""
+    """Parse one term of a selector.
+
+    Raises
+    ------
+    SettingsError
+        If it can't be parsed.
+    """
     if " in (" in part and part.endswith(")"):
         key, _, rest = part.partition(" in (")
         values = tuple(v.strip() for v in rest[:-1].split("|") if v.strip())
--- a/halldoor/core/steering/shift.py
+++ b/halldoor/core/steering/shift.py
@@ -1,10 +1,10 @@
-"""Shift caps that hold for requests, not for hash space.
+"""Caps of shifts, which limit the share of requests that move, not of hash space.
 
-Who moves is chosen by a stable hash of the client block, so that caches stay
-warm; how many is enforced by counts: every request of a service earns each of
-its shifts ``cap`` of a credit and every move spends a whole one.  Credit starts
-at zero, so at each entry moved <= cap * total since its start, and what holds
-at each entry holds for the sum, without messages.
+A stable hash of the client block chooses which clients move, so that caches stay warm.  Counts
+limit how many requests move: every request of a service adds ``cap`` to the credit of each of its
+shifts, and every move spends a credit of 1.  Credit starts at zero, so at each entry
+moved <= cap * total since its start.  The sum over all entries then stays below the cap too,
+without messages between them.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from halldoor.core.placement import to_unit
 
 CREDIT_LIMIT = 2.0
-"""Credit kept at most, so that quiet hours can't pay for a burst of moves."""
+"""Largest credit that is kept, so that credit of quiet hours can't pay for a burst of moves."""
 
 
 class ShiftCount(NamedTuple):
-    """Requests counted for one shift at one entry."""
+    """Requests of a service at one entry: all, those moved by a shift, those denied by its cap."""
 
     total: int
     moved: int
@@ -26,23 +26,23 @@
 
 
 class ShiftMeter:
-    """Count the requests of one shift against its cap.
+    """Counter of requests that enforces the cap of one shift at this entry.
 
     Parameters
     ----------
     cap : float
-        Greatest share of requests that may move, from 0 to 1.
+        Largest share of requests that may move, from 0 to 1.
     """
 
     def __init__(self, cap: float) -> None:
         self.cap = cap
         self.credit = 0.0
         self.count = ShiftCount(0, 0, 0)
-        # The largest value that cap * total took over every cap in force, for the assertion.
+        # Sum of the cap over all requests, with the cap at the time of each; for `is_within_cap`.
         self.allowed = 0.0
 
     def set_cap(self, cap: float) -> None:
-        """Change the cap; credit earned under the old one is dropped."""
+        """Change the cap; credit earned under another cap is dropped."""
         if cap != self.cap:
             self.cap = cap
             self.credit = 0.0
@@ -59,7 +59,7 @@
         return self.credit >= 1.0 - 1e-9
 
     def add_move(self) -> None:
-        """Spend the credit of one move; counted before the request is sent."""
+        """Count a move and spend its credit, before the request is sent."""
         self.credit -= 1.0
         self.count = self.count._replace(moved=self.count.moved + 1)
 
@@ -68,13 +68,13 @@
         self.count = self.count._replace(denied=self.count.denied + 1)
 
     def is_within_cap(self) -> bool:
-        """Check whether the promise holds at this entry."""
+        """Check whether the moves at this entry have stayed within the cap."""
         return self.count.moved <= self.allowed + 1e-6
 
 
 def is_chosen(shift: str, client_block: str, position: float) -> bool:
-    """Check whether a shift at ``position`` (0 to 1) would move this client block.
+    """Check whether a shift at ``position`` (0 to 1) moves a client block.
 
-    The set of blocks only grows as the position grows.
+    When the position grows, further blocks move and none moves back.
     """
     return to_unit(f"{shift}\0{client_block}") < position
--- a/halldoor/core/steering/snapshot.py
+++ b/halldoor/core/steering/snapshot.py
@@ -1,4 +1,4 @@
-"""What one entry derives from a configuration, once per revision."""
+"""Routing data that an entry derives from the configuration, once per revision."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from halldoor.core.steering.selector import Selector
 
 FAR_MS = 50.0
-"""Latency assumed between halls without a link in the configuration."""
+"""Latency assumed between halls without a link in the configuration, in milliseconds."""
 
 
 class Destination(NamedTuple):
-    """Targets that a selector chooses, by hall.
+    """The targets that a selector matches, by hall.
 
     Attributes
     ----------
@@ -39,14 +39,20 @@
 
 
 class ShiftView(NamedTuple):
-    """A running shift and where it leads."""
+    """A running or paused shift and the targets that it moves requests to."""
 
     shift: Shift
     to: Destination
 
 
 class ServiceView(NamedTuple):
-    """A service with its destinations."""
+    """A service with its selectors resolved to targets.
+
+    Attributes
+    ----------
+    home_halls : frozenset of str
+        Halls of the home region: the entry's own, or the nearest with targets of the service.
+    """
 
     service: Service
     default: Destination
@@ -55,7 +61,7 @@
     home_halls: frozenset[str]
 
     def find_operation(self, method: str, path: str) -> Operation | None:
-        """Find the operation of a request: the longest path that fits, then by method."""
+        """Return the operation of a request: of those with its method, the longest path prefix."""
         fits = [
             op
             for op in self.service.operations
@@ -65,7 +71,27 @@
 
 
 class Snapshot(NamedTuple):
-    """Everything an entry routes by, under one revision."""
+    """All data by which an entry routes requests under one revision.
+
+    Attributes
+    ----------
+    hall : Hall
+        The entry's own hall.
+    services : dict of str to ServiceView
+        Services by name.
+    targets, hall_targets : dict of str to Target
+        All targets, and those of the own hall, by name.
+    hall_order : tuple of str
+        All halls by latency from the own hall, which is first.
+    links : dict of str to LinkLimit
+        Limits of the links from the own hall, by destination.
+    rest_s : dict of str to float
+        Longest time that a request to each target of the own hall can last, in seconds.
+    blocks : BlockTable
+        Nearest hall by client address.
+    hall_by_entry : dict of str to str
+        Hall of each entry, by name.
+    """
 
     revision: int
     configuration: Configuration
@@ -83,7 +109,7 @@
     def from_configuration(
         cls, configuration: Configuration, *, revision: int, hall: str, blocks: BlockTable
     ) -> Snapshot:
-        """Derive the snapshot of an entry that stands in ``hall``."""
+        """Derive the snapshot of an entry in ``hall``."""
         mine = configuration.find_hall(hall) or Hall(name=hall, region="none", entries=[])
         order = order_halls(configuration, hall)
         selection = _Selection(configuration, order)
@@ -109,7 +135,7 @@
 
 
 def order_halls(configuration: Configuration, hall: str) -> tuple[str, ...]:
-    """Order all halls by latency from one of them, itself first."""
+    """Return the names of all halls by latency from one of them, which is first."""
     latency = {k.destination: k.latency_ms for k in configuration.links if k.origin == hall}
     latency[hall] = -1.0
     names = [h.name for h in configuration.halls]
@@ -117,7 +143,7 @@
 
 
 class _Selection:
-    """Resolves selectors of one configuration, from one hall's point of view."""
+    """Resolver of selectors to targets, ordered by distance from one hall."""
 
     def __init__(self, configuration: Configuration, order: tuple[str, ...]) -> None:
         self.regions = {h.name: h.region for h in configuration.halls}
@@ -142,7 +168,7 @@
     """Resolve the selectors of one service."""
     default = selection.select(service.selector)
     regions = selection.regions
-    # Home is the entry's own region, or else the nearest one with targets of the service.
+    # The home region is the entry's own, or else the nearest one with targets of the service.
     home = hall.region
     if default.halls and not any(regions[h] == home for h in default.halls):
         home = regions[next(iter(default.halls))]
@@ -159,7 +185,7 @@
 
 
 def _find_rest(services: dict[str, ServiceView], target: str) -> float:
-    """Return the longest time that a request to a target can last."""
+    """Return the longest time that a request to a target can last, in seconds."""
     deadlines = [
         op.deadline_s
         for view in services.values()
@@ -172,5 +198,5 @@
 
 
 def _is_below(path: str, prefix: str) -> bool:
-    """Check whether a path lies under a prefix, at a slash."""
+    """Check whether a path equals a prefix or continues it after a slash."""
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
