--- a/halldoor/core/__init__.py
+++ b/halldoor/core/__init__.py
@@ -1,11 +1,12 @@
-"""Decisions without I/O: no sockets, files, clocks or threads; time comes in as an argument.
+"""Decisions without I/O: no sockets, files, clocks or threads; times are passed as arguments.
 
-Shared by all: `errors`, `settings`, `placement`, `retry` and `invariant`.  The rest by what it
-decides:
+All packages share `errors`, `settings`, `placement`, `retry` and `invariant`.  The packages are:
 
-- `steering`: what operators write, and the routing that follows from it
+- `steering`: the operators' configuration, and the routing derived from it
 - `targets`: the gateway's choice of a target
-- `hall`: the present entry's slots, links and targets
+- `teams`: keys, home regions and quotas of teams
+- `quarantine`: blocking of requests that crash targets
+- `hall`: slots, links, targets and entries of the entry's own hall
 - `orders`: requests that run at most once
-- `explaining`: what became of a request and why
+- `explaining`: reports on requests from log lines and decision records
 """
--- a/halldoor/core/errors.py
+++ b/halldoor/core/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors and refusals; every message names the remedy."""
+"""Error classes, and refusals of requests; every message names a remedy."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class HalldoorError(Exception):
-    """Base of all halldoor errors.
+    """Base class of halldoor's errors.
 
     Parameters
     ----------
     message : str
-        What is wrong.
+        Sentence that states the problem.
     remedy : str
-        What the reader can do about it.
+        Sentence that states what the reader can do about it.
     """
 
     def __init__(self, message: str, *, remedy: str) -> None:
@@ -36,7 +36,7 @@
 
 
 class PlatformError(HalldoorError):
-    """The platform refused, answered rubbish or can't be reached."""
+    """The platform refused a call, gave an invalid answer or can't be reached."""
 
 
 class PeerError(HalldoorError):
@@ -44,11 +44,11 @@
 
 
 class InvariantError(HalldoorError):
-    """A promise that must always hold was broken."""
+    """An invariant was violated in strict mode; see `Invariants`."""
 
 
 class Ran(StrEnum):
-    """What is known about whether a refused request ran."""
+    """Whether a refused request is known not to have run."""
 
     NOT_RUN = "not run"
     UNKNOWN = "outcome unknown"
@@ -89,20 +89,20 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer for a request that halldoor gave up on.
+    """The final answer to a request that halldoor refuses or gives up on.
 
     Attributes
     ----------
     reason : Reason
         Why it was refused.
     ran : Ran
-        ``NOT_RUN`` only where no target can have run it.
+        ``NOT_RUN`` only if no target can have run it.
     message : str
-        One sentence on what happened and what to do.
+        Short text on what happened and what the caller should do.
     retry_after_s : float
-        Seconds after which to come back; 0 where coming back is no use.
+        Time after which the caller may retry, in seconds; 0 if a retry is of no use.
     ticket : str
-        A fresh ticket for a new attempt, or empty.
+        New ticket for another attempt, or empty.
     """
 
     reason: Reason
@@ -113,15 +113,15 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status code that fits the reason."""
+        """Return the HTTP status code for the reason."""
         return _STATUS.get(self.reason, 503)
 
 
 def refuse(reason: Reason, message: str, *, retry_after_s: float = 1.0) -> Refusal:
-    """Build a refusal for a request that truly did not run."""
+    """Build a refusal of a request that certainly did not run."""
     return Refusal(reason, Ran.NOT_RUN, message, retry_after_s)
 
 
 def refuse_unknown(reason: Reason, message: str, *, retry_after_s: float = 0.0) -> Refusal:
-    """Build a refusal for a request that may have run."""
+    """Build a refusal of a request that may have run."""
     return Refusal(reason, Ran.UNKNOWN, message, retry_after_s)
--- a/halldoor/core/explaining/decision.py
+++ b/halldoor/core/explaining/decision.py
@@ -1,4 +1,4 @@
-"""Records of routing decisions, and plain sentences about them."""
+"""Signed records of routing decisions, and their explanation in plain sentences."""
 
 from __future__ import annotations
 
@@ -20,25 +20,31 @@
 
 
 class PassedOver(msgspec.Struct, frozen=True, array_like=True):
-    """A candidate that was not chosen, and why."""
+    """A candidate target that was not chosen, and why."""
 
     name: str
     why: str
 
 
 class Decision(msgspec.Struct, frozen=True, array_like=True):
-    """Why a request went where it did.
+    """The record of a routing decision: where a request was sent, and why.
 
     Attributes
     ----------
     id : str
         Decision id, as in the answer's header and the logs.
+    entry : str
+        Entry that made the decision.
+    revision : int
+        Revision of the configuration that it used.
+    client : str
+        Client block of the caller.
     selector : str
         Selector that applied.
     because : str
         ``default``, ``shift NAME`` or ``failover``.
     cap : str
-        What the caps did, in words.
+        Effect of the caps on the decision, as text.
     outcome : str
         ``served``, or the reason of the refusal.
     """
@@ -60,7 +66,7 @@
 
 
 def sign_decision(decision: Decision, key: bytes) -> str:
-    """Write a decision as signed text, small enough for a header."""
+    """Encode and sign a decision as text that is short enough for a header."""
     short = msgspec.structs.replace(decision, passed_over=decision.passed_over[:_PASSED_OVER_LIMIT])
     payload = msgspec.msgpack.encode(short)
     mac = hmac.new(key, payload, sha256).digest()[:_MAC_BYTES]
@@ -68,18 +74,19 @@
 
 
 def read_decision(text: str, key: bytes) -> Decision:
-    """Read a signed decision; any host with the key can.
+    """Decode a signed decision and check its signature; any host with the key can do so.
 
     Raises
     ------
     DecisionError
-        Where the text was not signed with this key.
+        If the text was not signed with this key.
     """
     try:
         raw = urlsafe_b64decode(text.encode() + b"=" * (-len(text) % 4))
     except ValueError as exc:
         raise DecisionError(
-            "This is no decision record.", remedy="Copy the whole Halldoor-Decision-Record header."
+            "This is not a decision record.",
+            remedy="Copy the whole Halldoor-Decision-Record header.",
         ) from exc
     wanted = hmac.new(key, raw[_MAC_BYTES:], sha256).digest()[:_MAC_BYTES]
     if not hmac.compare_digest(wanted, raw[:_MAC_BYTES]):
@@ -91,25 +98,25 @@
 
 
 class DecisionLog:
-    """The last decisions of one entry, bounded."""
+    """The latest decisions of one entry, up to a capacity."""
 
     def __init__(self, capacity: int = 2_000) -> None:
         self._capacity = capacity
         self._decisions: OrderedDict[str, Decision] = OrderedDict()
 
     def add(self, decision: Decision) -> None:
-        """Keep a decision and drop the oldest past the capacity."""
+        """Add a decision, and drop the oldest one if the capacity is exceeded."""
         self._decisions[decision.id] = decision
         if len(self._decisions) > self._capacity:
             self._decisions.popitem(last=False)
 
     def find(self, decision_id: str) -> Decision | None:
-        """Find a decision by id."""
+        """Return the decision with an id; None if it is not kept."""
         return self._decisions.get(decision_id)
 
 
 def explain(decision: Decision) -> list[str]:
-    """Say in plain sentences why a request went where it did."""
+    """Return sentences that explain where a request was sent and why."""
     d = decision
     lines = [
         f"Request {d.id} asked for operation '{d.operation}' of service '{d.service}' "
--- a/halldoor/core/explaining/history.py
+++ b/halldoor/core/explaining/history.py
@@ -1,4 +1,4 @@
-"""Explain from a gateway's log lines what happened to a request, in plain words."""
+"""Explanation of what happened to a request, from the log lines of gateways."""
 
 from __future__ import annotations
 
@@ -10,21 +10,27 @@
 from halldoor.core.targets.load import Fade
 
 BELIEF_WINDOW_S = 10.0
-"""How long before a request's end changes of belief are told, in seconds."""
+"""Time before the end of a request in which changes of the entry's state are listed, in seconds."""
 
 
 class LogLine(NamedTuple):
-    """One log line.
+    """A parsed log line of a gateway.
 
     Attributes
     ----------
     part : str
-        Part of the gateway that wrote it, the prefix of its sentence.
+        Part of the gateway that wrote it: the prefix of the ``event`` field.
+    text : str
+        Text of the event without this prefix.
+    entry : str
+        Name of the entry that wrote it.
     at : float
-        Steady clock of the entry that wrote it, in seconds.
+        Time on the monotonic clock of that entry, in seconds.
+    fields : dict of str to object
+        Other fields of the line.
     collected_at : float or None
-        Clock of whoever collected the lines of all entries, in seconds, where a line begins with
-        it.
+        Time on the clock of the process that collected the lines of all entries, in seconds; None
+        if the line doesn't begin with it.
     """
 
     part: str
@@ -36,7 +42,7 @@
 
 
 class Warmth(StrEnum):
-    """What an entry took a target for with respect to a key; told in these words."""
+    """Whether an entry expected a target to be warm for a key, and why; printed as its value."""
 
     JUST_STARTED = "just started, cold"
     FIRST_CHOICE = "the key's first, taken for warm"
@@ -45,7 +51,7 @@
 
 
 def find_warmth(attempt: dict[str, Any]) -> Warmth:
-    """Find what a logged attempt's target was taken for."""
+    """Return whether the target of a logged attempt was expected to be warm for the key."""
     if attempt.get("is_cold"):
         return Warmth.JUST_STARTED
     if attempt.get("place") == 0:
@@ -54,19 +60,19 @@
 
 
 def date_lines(lines: Iterable[LogLine]) -> Iterator[tuple[LogLine, float]]:
-    """Return each line with the time since its entry's start, in seconds."""
+    """Yield each line with the time since its entry's start, in seconds."""
     started_at: dict[str, float] = {}
     for line in lines:
         if line.part == "process" and line.text == "Started.":
-            # The steady clock begins anew.
+            # The monotonic clock of a restarted entry may start at another value.
             started_at[line.entry] = line.at
         yield line, line.at - started_at.setdefault(line.entry, line.at)
 
 
 def parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Read log lines; of what stands before the JSON only a time is kept, in seconds.
+    """Yield the parsed log lines; lines that are not log lines of a gateway are skipped.
 
-    Other lines are passed over.
+    A collector may have put the time in seconds before the JSON; other prefixes are ignored.
     """
     for line in lines:
         start = line.find("{")
@@ -85,7 +91,7 @@
 
 
 def _parse_time(prefix: str) -> float | None:
-    """Read the time that a collector put before a line, in seconds; None where there is none."""
+    """Return the time that a collector put before a line, in seconds; None if there is none."""
     words = prefix.split(maxsplit=1)
     try:
         return float(words[0]) if words else None
@@ -94,7 +100,7 @@
 
 
 def explain_request(lines: Iterable[LogLine], attempt_id: str) -> list[str]:
-    """Return what happened to a request.
+    """Describe what happened to a request at all entries.
 
     Parameters
     ----------
@@ -104,7 +110,7 @@
     Returns
     -------
     list of str
-        Sentences; empty where no line names the id.
+        Lines of text; empty if no log line names the id.
     """
     known = list(lines)
     told: list[str] = []
@@ -119,7 +125,7 @@
 
 
 def _tell_end(line: LogLine) -> list[str]:
-    """Tell the end of a request and each sending."""
+    """Describe a request from the line that logged its end, with each attempt."""
     fields = line.fields
     if "status" not in fields:
         detail = ", ".join(f"{k} {v}" for k, v in fields.items() if k != "id")
@@ -129,7 +135,7 @@
         f"{fields.get('outcome', '')}.",
         f"  Route {fields.get('route', '(none)')}, service {fields.get('service', '(none)')}, "
         f"key {fields.get('key') or '(none)'}, configuration {fields.get('version', 0)}, "
-        f"store heard {fields.get('store_age_ms', 0)} ms before.",
+        f"last contact with the store {fields.get('store_age_ms', 0)} ms before.",
     ]
     told += [f"  {text}" for text in _tell_team(fields)]
     told += [f"  {_tell_attempt(attempt)}" for attempt in fields.get("attempts", [])]
@@ -138,7 +144,7 @@
 
 
 def _tell_team(fields: dict[str, Any]) -> Iterator[str]:
-    """Return whose the request was, and what its quota's decision went by."""
+    """Describe the team of a request, and the quota's decision about it."""
     if fields.get("key_digest"):
         yield f"No team holds the key whose digest begins with {fields['key_digest']}."
     if fields.get("team"):
@@ -146,14 +152,14 @@
     if "quota_part" in fields:
         percent = f"{100 * fields['quota_part']:.0f}%"
         if fields.get("quota_age_s") is None:
-            yield f"No collector had answered lately: this entry keeps to {percent} of the quota."
+            yield f"No collector had answered recently: this entry admits {percent} of the quota."
         else:
             age_ms = f"{1000 * fields['quota_age_s']:.0f} ms"
-            yield f"All entries admit {percent} of it, as a collector said {age_ms} before."
+            yield f"All entries admit {percent} of its requests, by an answer {age_ms} before."
 
 
 def _tell_attempt(attempt: dict[str, Any]) -> str:
-    """Tell one attempt, what was believed of its target, and how long it was expected to take."""
+    """Describe one attempt, with the entry's view of the target and the expected time."""
     detail = f" ({attempt['detail']})" if attempt.get("detail") else ""
     return (
         f"Target {attempt['target']}: {attempt['result']}{detail} after {attempt['took_ms']} ms; "
@@ -163,16 +169,16 @@
 
 
 def _tell_connecting(attempt: dict[str, Any]) -> str:
-    """Return how the connection was had."""
+    """Describe whether an attempt used a kept or a new connection."""
     if attempt.get("is_reused"):
         return "on a kept connection"
     return f"on a new connection, up after {attempt.get('connect_ms', 0)} ms"
 
 
 def _tell_choice(attempt: dict[str, Any]) -> str:
-    """Return why the target was chosen: its place, and the time that was expected."""
+    """Describe why the target was chosen: its rank for the key, and the expected time."""
     if "expected_ms" not in attempt:
-        return "no expectation logged"
+        return "no expected time logged"
     return (
         f"choice {attempt['place'] + 1} of the key ({find_warmth(attempt)}), "
         f"expected {attempt['expected_ms']} ms with {attempt['expected_wait_ms']} ms of waiting"
@@ -180,7 +186,7 @@
 
 
 def _tell_load(attempt: dict[str, Any]) -> str:
-    """Tell the load that a target had reported."""
+    """Describe the load that a target had reported."""
     age_ms = attempt.get("load_age_ms")
     if age_ms is None:
         return "no load reported"
@@ -191,20 +197,20 @@
 
 
 def _judge(fields: dict[str, Any]) -> str:
-    """Check whether the request ran."""
+    """Describe whether a request ran, from its status and target."""
     if fields["status"] in (503, 429, 408) and not fields.get("target"):
-        return "It did not run: no target took it. The caller may come back."
+        return "It did not run: no target received it. The caller may retry."
     if fields["status"] in (502, 504) and not fields.get("target"):
-        return "It may have run: a target had it and no sound answer came back."
+        return "It may have run: a target received it and no valid answer came back."
     if fields["status"] == 404 and not fields.get("target"):
         return "It did not run: the configuration in force had no route for it."
     if fields["status"] < 500 and not fields.get("target"):
-        return "It did not run: this entry turned it away."
+        return "It did not run: this entry refused it."
     return "A target answered it."
 
 
 def _tell_beliefs(lines: list[LogLine], end: LogLine) -> Iterator[str]:
-    """Return what the entry learnt shortly before about targets, routing and the store."""
+    """Yield what the entry logged shortly before on the request's targets, routing and store."""
     names = {attempt["target"] for attempt in end.fields.get("attempts", [])}
     for line in lines:
         age_s = end.at - line.at
--- a/halldoor/core/explaining/moves.py
+++ b/halldoor/core/explaining/moves.py
@@ -1,4 +1,4 @@
-"""Find from gateways' log lines when a region's requests went to other regions, and why."""
+"""Report on when and why a region's requests moved to other regions, from gateways' log lines."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from halldoor.core.explaining.history import LogLine
 
 WINDOW_S = 2.0
-"""Length of a window, in seconds: about that in which an entry compares."""
+"""Length of a window, in seconds: about that over which an entry compares its counts."""
 MOVES_SHOWN = 12
-"""Moves that are listed, the greatest; the rest is counted."""
+"""Largest moves that are listed; the others are only counted."""
 
 
 class Moved(NamedTuple):
-    """What the entries of a region told of one window.
+    """A move of a region's requests in one window, summed up over the entries that logged it.
 
     Attributes
     ----------
     since_start_s : float
         Begin of the window, in seconds since the entries' starts.
     origin : str
-        Region whose requests moved; empty where the lines don't name it.
+        Region whose requests moved; empty if the log lines don't name it.
     entries : int
-        Entries that told of a move.
+        Number of entries that logged a move.
     before, after : dict of str to int
-        Requests of these entries by region of execution, in the window before and in this one.
+        Requests of these entries by the region that ran them, in the window before and in this one.
     reasons : dict of str to int
-        Entries by the reason that moved most of their requests.
+        Number of entries by the reason that moved most of their requests.
     versions : tuple of int
-        Versions of the configuration that they went by.
+        Versions of the configuration that these entries used.
     oldest_ms : int
-        Greatest age of what they knew of the store, in milliseconds.
+        Greatest age of their last contact with the store, in milliseconds.
     """
 
     since_start_s: float
@@ -46,7 +46,7 @@
 
     @property
     def part(self) -> float:
-        """Part of the requests that runs in another region than before."""
+        """Fraction of the requests that ran in another region than before."""
         before, after = sum(self.before.values()), sum(self.after.values())
         if not before or not after:
             return 0.0
@@ -56,25 +56,25 @@
 
 
 class MoveTable:
-    """Collects what the lines tell of moves."""
+    """Collector of log lines about moves between regions."""
 
     def __init__(self) -> None:
         self._told: defaultdict[tuple[float, str], list[LogLine]] = defaultdict(list)
 
     def add(self, line: LogLine, since_start_s: float) -> None:
-        """Take a line; any that tells of no move changes nothing."""
+        """Add a log line; lines that are not about a move are ignored."""
         if line.part == "flow" and line.text == "Moved between regions.":
             window = int(since_start_s / WINDOW_S) * WINDOW_S
             self._told[(window, str(line.fields.get("origin", "")))].append(line)
 
     def list_moves(self) -> list[Moved]:
-        """List the moves, the greatest first."""
+        """List the moves, those with most moved requests first."""
         moves = [_sum_up(*key, lines) for key, lines in self._told.items()]
         return sorted(moves, key=lambda move: -move.part * sum(move.after.values()))
 
 
 def _sum_up(since_start_s: float, origin: str, lines: list[LogLine]) -> Moved:
-    """Sum up what several entries told of one window."""
+    """Sum up the lines of several entries about one window."""
     fields = [line.fields for line in lines]
     return Moved(
         since_start_s,
@@ -89,7 +89,7 @@
 
 
 def _add_up(fields: Iterable[dict[str, Any]], name: str) -> dict[str, int]:
-    """Add up requests by region."""
+    """Add up the counts by region in one field of several lines."""
     total: Counter[str] = Counter()
     for one in fields:
         total.update({str(region): int(n) for region, n in dict(one.get(name) or {}).items()})
@@ -97,22 +97,22 @@
 
 
 def describe_moves(moves: list[Moved]) -> list[str]:
-    """Write moves as lines of text; nothing where there are none."""
+    """Format moves as lines of text; empty if there are none."""
     if not moves:
         return []
-    lines = ["", "Requests that went to another region (of the entries that told so):"]
+    lines = ["", "Requests that moved to another region (at the entries that logged it):"]
     for move in moves[:MOVES_SHOWN]:
         reasons = ", ".join(f"{reason} {n}" for reason, n in move.reasons.items())
         lines.append(
             f"{move.since_start_s:08.1f}  {move.origin or '?'}: {move.part:.2f} moved at "
             f"{move.entries} entries ({reasons}); {_join(move.before)} before, "
             f"{_join(move.after)} after; version {'/'.join(map(str, move.versions))}, "
-            f"store heard up to {move.oldest_ms} ms ago"
+            f"last contact with the store up to {move.oldest_ms} ms ago"
         )
     left = len(moves) - MOVES_SHOWN
     return [*lines, f"{left:>8}  smaller ones"] if left > 0 else lines
 
 
 def _join(counts: dict[str, int]) -> str:
-    """Write requests by region."""
+    """Format counts by region as text."""
     return " ".join(f"{region} {n}" for region, n in counts.items())
--- a/halldoor/core/explaining/report.py
+++ b/halldoor/core/explaining/report.py
@@ -1,4 +1,4 @@
-"""Find from gateways' log lines where requests lose time: which, when, and for what reason."""
+"""Report on which requests are slow or fail, when and why, from gateways' log lines."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 )
 
 WINDOW_S = 2.0
-"""Length of a window of the table by moments, in seconds: about a short fault's."""
+"""Length of a window of the table by moments, in seconds: about the length of a short fault."""
 REASONS_SHOWN = 12
-"""Reasons of refusals and failures that are listed; the rest is counted."""
+"""Most frequent reasons of refusals and failures that are listed; the others are counted."""
 SUSPECTS_SHOWN = 8
-"""Requests under which targets were lost that are listed; the rest is counted."""
+"""Requests suspected of crashing targets that are listed; the others are counted."""
 LEAST_LOST = 2
-"""Targets that must be lost under the same request for it to be listed: one ends by chance."""
+"""Least number of targets lost while running a request for it to be listed: one may be chance."""
 
 
 class Ended(StrEnum):
-    """How a request ended for its caller."""
+    """How a request finished for its caller: in or over its aimed time, refused or failed."""
 
     IN_AIM = "in aim"
     LATE = "late"
@@ -35,16 +35,17 @@
 
 
 class Tally(NamedTuple):
-    """Requests of one group.
+    """Counts and times of a group of requests.
 
     Attributes
     ----------
     group : tuple of str
-        What they have in common.
+        Values that the requests have in common, such as the service.
     counts : dict of Ended to int
-        How they ended.  Ordinary successes are sampled and stand for several.
+        Number of requests by outcome.  Ordinary successes are sampled, and each logged one counts
+        as several.
     median_ms, high_ms : int
-        Median and 90th percentile of the time at the entry.
+        Median and 90th percentile of the time at the entry, in milliseconds.
     """
 
     group: tuple[str, ...]
@@ -54,19 +55,21 @@
 
     @property
     def total(self) -> int:
-        """All of them."""
+        """Number of all requests of the group."""
         return sum(self.counts.values())
 
 
 class AttemptTally(NamedTuple):
-    """Answered attempts at targets of one sort.
+    """Counts and times of a group of answered attempts.
 
     Attributes
     ----------
     group : tuple of str
-        Service, distance of the target, and whether the key was expected warm there.
+        Service, distance of the target, and whether it was expected to be warm for the key.
+    total : int
+        Number of attempts.
     expected_ms, took_ms, connect_ms : int
-        Medians of the time expected, taken, and spent on connecting.
+        Medians of the time expected, taken, and spent on connecting, in milliseconds.
     """
 
     group: tuple[str, ...]
@@ -77,14 +80,16 @@
 
 
 class Suspect(NamedTuple):
-    """Requests of one caller with the same path and body, under which several targets were lost.
+    """A request that is suspected of crashing targets: several were lost while running it.
 
     Attributes
     ----------
+    digest : str
+        Digest of the request, the same for all its copies; see `quarantine.identity`.
     targets, entries : int
-        Targets that were lost under it, and entries that saw it.
+        Number of targets that were lost while running it, and of entries that received it.
     answered : int
-        How often a target answered it.
+        Number of times that a target answered it.
     """
 
     digest: str
@@ -95,7 +100,7 @@
 
 
 class Report(NamedTuple):
-    """Where requests lose time."""
+    """The report: tallies of requests and attempts, reasons, suspects, moves and withdrawals."""
 
     services: list[Tally]
     moments: list[Tally]
@@ -107,7 +112,7 @@
 
 
 class _Request(NamedTuple):
-    """One logged request and how many it stands for."""
+    """One logged request, and the number of requests that it represents in the sample."""
 
     line: LogLine
     stands_for: int
@@ -116,7 +121,7 @@
 
 
 def build_report(lines: Iterable[LogLine]) -> Report:
-    """Build the report of some log lines, of one entry or many."""
+    """Build the report from the log lines of one or several entries."""
     moves, withdrawals, requests = MoveTable(), WithdrawalTable(), []
     for line, since_start_s in date_lines(lines):
         moves.add(line, since_start_s)
@@ -137,7 +142,7 @@
 
 
 def _read_request(line: LogLine, since_start_s: float) -> _Request | None:
-    """Read the end of a request; None where a line tells of none."""
+    """Return the finished request that a line logs; None for another line."""
     fields = line.fields
     if line.part != "request" or not fields.get("service") or "status" not in fields:
         return None
@@ -145,7 +150,7 @@
 
 
 def _judge(fields: dict[str, Any]) -> Ended:
-    """Return how a request ended."""
+    """Classify how a request finished from its status and time."""
     status = int(fields["status"])
     if status < 500:
         is_late = fields["took_ms"] > fields.get("aim_ms", fields["took_ms"])
@@ -156,7 +161,7 @@
 def _tally(
     requests: Iterable[_Request], find_group: Callable[[_Request], tuple[str, ...]]
 ) -> list[Tally]:
-    """Count requests by group."""
+    """Count requests and compute quantiles of their time, by group."""
     groups: defaultdict[tuple[str, ...], list[_Request]] = defaultdict(list)
     for request in requests:
         groups[find_group(request)].append(request)
@@ -194,7 +199,7 @@
 
 
 def _count_reasons(requests: Iterable[_Request]) -> list[tuple[str, str, int]]:
-    """Count why requests were refused or failed, by service; the most frequent first."""
+    """Count refused and failed requests by service and reason, the most frequent first."""
     counts: defaultdict[tuple[str, str], int] = defaultdict(int)
     for request in requests:
         if request.ended in (Ended.REFUSED, Ended.FAILED):
@@ -205,7 +210,7 @@
 
 
 def _list_suspects(requests: Iterable[_Request]) -> list[Suspect]:
-    """List the requests under which several targets were lost, those with most first."""
+    """List the requests that several targets were lost while running, those with most first."""
     lost: defaultdict[str, set[str]] = defaultdict(set)
     entries: defaultdict[str, set[str]] = defaultdict(set)
     answered: defaultdict[str, int] = defaultdict(int)
@@ -230,7 +235,7 @@
 
 
 def _shorten(fields: dict[str, Any]) -> str:
-    """Return the reason without the name of the target."""
+    """Return status and reason without the target's name, so that equal reasons are counted."""
     outcome = str(fields.get("outcome", ""))
     attempts = fields.get("attempts") or ()
     names = {str(attempt.get("target")) for attempt in attempts}
@@ -240,7 +245,7 @@
 
 
 def _find_quantile(values: Sequence[tuple[int, int]], quantile: float) -> int:
-    """Find a quantile of values that stand for several each; 0 where there are none."""
+    """Return a quantile of weighted values, given as (value, weight); 0 if there are none."""
     left = quantile * sum(weight for _, weight in values)
     for value, weight in sorted(values):
         left -= weight
@@ -250,7 +255,7 @@
 
 
 def describe_report(report: Report) -> list[str]:
-    """Write a report as lines of text."""
+    """Format a report as lines of text."""
     lines = ["By service (time at the entry, ms):", *_describe_tallies(report.services)]
     lines += ["", "By moment (seconds since the entry's start):"]
     lines += _describe_tallies(report.moments)
@@ -272,10 +277,10 @@
 
 
 def _describe_suspects(suspects: Sequence[Suspect]) -> list[str]:
-    """Write the requests under which targets were lost; nothing where there are none."""
+    """Format the requests suspected of crashing targets; empty if there are none."""
     if not suspects:
         return []
-    lines = ["", "The same request, and the targets lost under it:"]
+    lines = ["", "Targets lost while running the same request:"]
     lines += [
         f"{s.targets:>8}  {s.digest} ({s.service}) at {s.entries} entries, answered {s.answered}"
         for s in suspects[:SUSPECTS_SHOWN]
@@ -285,7 +290,7 @@
 
 
 def _describe_tallies(tallies: Iterable[Tally]) -> list[str]:
-    """Write counts as a table."""
+    """Format tallies as a table."""
     heads = "".join(f"{ended.value:>9}" for ended in Ended)
     lines = [f"{'':<16}{'n':>8}{heads}{'p50':>7}{'p90':>7}"]
     for tally in tallies:
--- a/halldoor/core/explaining/withdrawals.py
+++ b/halldoor/core/explaining/withdrawals.py
@@ -1,6 +1,7 @@
-"""Find from gateways' log lines how long targets that leave still get requests, and from whom.
+"""Report on how long withdrawn targets still get requests, and from which entries.
 
-A target is withdrawn once its record says that it drains, or is removed.
+A target is withdrawn once its record states that it drains, or its record is removed.  The report
+is built from gateways' log lines.
 """
 
 from __future__ import annotations
@@ -13,11 +14,9 @@
 from halldoor.core.explaining.history import LogLine
 
 WITHDRAWALS_SHOWN = 12
-"""Targets that are listed, those with the latest request; the rest is counted."""
-
-
+"""Targets that are listed, those with the latest requests; the others are counted."""
 WITHDRAWAL_LINES = frozenset({"Draining.", "Gone.", "Withdrawn, as another entry says."})
-"""Lines by which an entry writes that it sends a target nothing more."""
+"""Texts of the log lines in which an entry states that it sends no more requests to a target."""
 
 
 class Sending(NamedTuple):
@@ -28,8 +27,8 @@
     after_s : float
         Time since the first entry knew of the withdrawal, in seconds.
     own_s : float or None
-        Time since the entry that sent it knew itself, in seconds; None where no line says that it
-        ever did, negative where it learnt later.
+        Time since the sending entry itself knew of the withdrawal, in seconds; negative if it knew
+        later, None if no line shows that it ever knew.
     """
 
     entry: str
@@ -38,12 +37,12 @@
 
 
 class Withdrawal(NamedTuple):
-    """What the entries' lines tell of a target that was withdrawn.
+    """The withdrawal of a target, as reconstructed from the log lines of all entries.
 
     Attributes
     ----------
     target, first_entry : str
-        Incarnation, and the first entry that knew.
+        Incarnation (one start) of the target, and the first entry that knew of the withdrawal.
     at_s : float
         When that entry knew, in seconds of the lines' common clock.
     delays_s : tuple of float
@@ -51,9 +50,9 @@
     slowest : str
         The entry that knew last.
     unaware : int
-        Entries that ran then and of which no line says that they knew.
+        Number of entries that were running then and never logged that they knew.
     last : Sending or None
-        The last request that was sent to it; None where the lines name none.
+        The last request that was sent to the target after the withdrawal; None if there was none.
     """
 
     target: str
@@ -66,14 +65,14 @@
 
 
 class _Run(NamedTuple):
-    """One life of an entry's process."""
+    """One run of an entry's process, from start to crash or exit: entry name and number."""
 
     entry: str
     number: int
 
 
 class _Told(NamedTuple):
-    """A line on a target's record."""
+    """A log line that states whether a target is withdrawn, by a revision of the store."""
 
     run: _Run
     at: float
@@ -82,12 +81,18 @@
 
 
 class _Period(NamedTuple):
-    """Time from a withdrawal until the target is back, on the common clock.
+    """The time from a withdrawal until the target is back, on the common clock.
 
     Attributes
     ----------
+    first : _Run
+        The first entry's process that knew of the withdrawal.
+    since, until : float
+        Begin and end of the period, in seconds; infinite ``until`` if the target is not back.
     revision : int
-        Least revision of the store by which an entry knew of it.
+        Lowest revision of the store by which an entry knew of the withdrawal.
+    known : dict of str to float
+        Time at which each entry logged the withdrawal, in seconds.
     """
 
     first: _Run
@@ -98,7 +103,7 @@
 
 
 class WithdrawalTable:
-    """Collects what the lines tell of targets that leave."""
+    """Collector of log lines about withdrawn targets and the requests sent to them."""
 
     def __init__(self) -> None:
         self._runs: dict[str, _Run] = {}
@@ -109,7 +114,7 @@
         self._applied: defaultdict[_Run, list[tuple[float, int]]] = defaultdict(list)
 
     def add(self, line: LogLine) -> None:
-        """Take a line; any that tells of no target changes nothing."""
+        """Add a log line; lines without information on targets or revisions are ignored."""
         run = self._find_run(line)
         fields = line.fields
         if "revision" in fields:
@@ -122,27 +127,27 @@
                 self._add_sendings(run, line)
 
     def _add_revision(self, run: _Run, at: float, revision: int) -> None:
-        """Take up to which revision an entry applied all changes."""
+        """Record the time at which an entry had applied all changes up to a revision."""
         applied = self._applied[run]
         if not applied or applied[-1][1] != revision:
             applied.append((at, revision))
 
     def _find_run(self, line: LogLine) -> _Run:
-        """Find the life of the process that wrote a line, and set its clock."""
+        """Return the run of the process that wrote a line, and update its clock offset."""
         run = self._runs.get(line.entry, _Run(line.entry, 0))
         if line.part == "process" and line.text == "Started.":
-            # The steady clock begins anew.
+            # A restarted process may have another monotonic clock.
             run = run._replace(number=run.number + 1)
         self._runs[line.entry] = run
         if line.collected_at is not None:
-            # Lines may be collected late, and never early.
+            # Lines may be collected late but never early: the smallest offset is the best estimate.
             offset = line.collected_at - line.at
             self._offsets[run] = min(self._offsets.get(run, math.inf), offset)
         self._began.setdefault(run, line.at)
         return run
 
     def _add_sendings(self, run: _Run, line: LogLine) -> None:
-        """Take a request's attempts, of which the line says only how long each took."""
+        """Record when a request was sent to each target, from the durations of its attempts."""
         ended = line.at
         for attempt in reversed(line.fields.get("attempts") or ()):
             ended -= int(attempt.get("took_ms", 0)) / 1000
@@ -152,7 +157,7 @@
             self._sent[str(attempt.get("target", ""))].append((run, sent_at))
 
     def list_withdrawals(self) -> list[Withdrawal]:
-        """List the targets that left, those with the latest request first."""
+        """List the withdrawals, those with the latest request to the target first."""
         found = [
             self._sum_up(target, period)
             for target, told in self._told.items()
@@ -161,14 +166,14 @@
         return sorted(found, key=_get_lateness, reverse=True)
 
     def _find_time(self, run: _Run, at: float) -> float:
-        """Find a moment on the lines' common clock, in seconds.
+        """Convert a time of one run to the lines' common clock, in seconds.
 
-        Without a collector's time it is the time since the process started.
+        For lines without a collector's time, the result is the time since the process started.
         """
         return at + self._offsets.get(run, -self._began[run])
 
     def _find_periods(self, told: Sequence[_Told]) -> list[_Period]:
-        """Find the times in which a target was withdrawn."""
+        """Return the periods in which a target was withdrawn."""
         periods: list[_Period] = []
         dated = sorted((self._find_time(one.run, one.at), one) for one in told)
         for at, (run, _, revision, is_withdrawn) in dated:
@@ -181,12 +186,12 @@
             elif is_withdrawn and (last is None or revision > last.revision):
                 periods.append(_Period(run, at, math.inf, revision, {run.entry: at}))
             elif is_open and last is not None and revision > last.revision:
-                # An entry that lags may still write that the target is there.
+                # Lines of lower revisions are ignored: a lagging entry may still log the old state.
                 periods[-1] = last._replace(until=at, revision=revision)
         return periods
 
     def _sum_up(self, target: str, period: _Period) -> Withdrawal:
-        """Sum up who knew when, and the last request."""
+        """Build the withdrawal of a period: when each entry knew, and the last request."""
         ran = [r for r, at in self._began.items() if self._find_time(r, at) <= period.since]
         known = {e: at for e, at in period.known.items() if e in {run.entry for run in ran}}
         for run in ran:
@@ -207,9 +212,10 @@
         )
 
     def _find_application(self, run: _Run, period: _Period) -> float | None:
-        """Find when an entry had applied all changes up to the withdrawal.
+        """Return when a run had applied all changes up to the withdrawal; None if never.
 
-        The line of the target itself may be missing: whole readings write few, and lines get lost.
+        The line on the target itself may be missing: reading the whole store logs few targets, and
+        lines get lost.
         """
         for at, revision in self._applied[run]:
             applied_at = self._find_time(run, at)
@@ -218,7 +224,7 @@
         return None
 
     def _find_last(self, target: str, period: _Period, known: dict[str, float]) -> Sending | None:
-        """Find the last request that was sent to a target while it was withdrawn."""
+        """Return the last request that was sent to a target while it was withdrawn."""
         dated = ((self._find_time(run, at), run.entry) for run, at in self._sent[target])
         late = [(at, entry) for at, entry in dated if period.since < at < period.until]
         if not late:
@@ -229,12 +235,12 @@
 
 
 def _get_lateness(withdrawal: Withdrawal) -> float:
-    """Return how late the last request was, in seconds."""
+    """Return how long after the withdrawal the last request was sent, in seconds."""
     return withdrawal.last.after_s if withdrawal.last is not None else -math.inf
 
 
 def find_quantile(values: Iterable[float], quantile: float) -> float:
-    """Find a quantile by the nearest rank; 0 where there are no values."""
+    """Return a quantile by the nearest rank; 0 if there are no values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -242,7 +248,7 @@
 
 
 def describe_withdrawals(withdrawals: Sequence[Withdrawal]) -> list[str]:
-    """Write withdrawals as lines of text; nothing where there are none."""
+    """Format withdrawals as lines of text; empty if there are none."""
     if not withdrawals:
         return []
     delays = [delay for one in withdrawals for delay in one.delays_s]
@@ -256,13 +262,13 @@
 
 
 def _describe_spread(values: Sequence[float]) -> str:
-    """Write the median, the 99th percentile and the greatest of some times."""
+    """Format the median, the 99th percentile and the maximum of times in seconds."""
     median, high, worst = (find_quantile(values, quantile) for quantile in (0.5, 0.99, 1.0))
     return f"median {median:.2f}, p99 {high:.2f}, worst {worst:.2f}"
 
 
 def _describe(withdrawal: Withdrawal) -> str:
-    """Write what is known of one target with a late request."""
+    """Format one withdrawal with a late request as a line of text."""
     last = withdrawal.last
     assert last is not None
     delays = withdrawal.delays_s
--- a/halldoor/core/invariant.py
+++ b/halldoor/core/invariant.py
@@ -1,6 +1,6 @@
-"""Assertions of what must always hold.
+"""Invariants that are checked at run time.
 
-A broken one is counted and logged in production and raised under test
+A violation is counted and logged in production, and raises an error in tests
 (``Invariants.strict``).
 """
 
@@ -13,14 +13,14 @@
 
 
 class Invariants:
-    """Count broken promises by name.
+    """Checker that counts violated invariants by name.
 
     Parameters
     ----------
     strict : bool
-        Raise on the first broken promise.
+        Whether to raise an error on a violation.
     on_violation : callable, optional
-        Called with the name and the detail, for the log.
+        Called with the invariant's name and a detail, to log the violation.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._on_violation = on_violation
 
     def check(self, holds: bool, name: str, detail: str = "") -> bool:
-        """Record a violation unless ``holds``.
+        """Record a violation of an invariant unless ``holds``.
 
         Returns
         -------
@@ -41,7 +41,7 @@
         Raises
         ------
         InvariantError
-            In strict mode.
+            If the invariant is violated, in strict mode.
         """
         if holds:
             return True
--- a/halldoor/core/placement.py
+++ b/halldoor/core/placement.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who is home to what, without messages."""
+"""Rendezvous hashing: every process assigns keys to the same members, without messages."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def hash_key(*parts: str) -> int:
-    """Hash strings to 64 bits, alike on every host."""
+    """Return a 64-bit hash of strings, the same on every host."""
     return int.from_bytes(blake2b("\0".join(parts).encode(), digest_size=8).digest(), "big")
 
 
 def rank(key: str, members: Iterable[str]) -> list[str]:
-    """Order members by rendezvous hash for a key, best first.
+    """Return members by rendezvous hash for a key, the preferred one first.
 
-    A member that leaves moves only its own keys; the order of the others stays.
+    Removing a member moves only the keys that it came first for; the others keep their order.
     """
     names = list(members)
     hashes = hash_pairs(key, [name.encode() for name in names])
@@ -24,17 +24,17 @@
 
 
 def to_unit(key: str) -> float:
-    """Map a key to a stable number in [0, 1)."""
+    """Return a number in [0, 1) that depends only on the key."""
     return hash_key(key) / _SPACE
 
 
 def hash_pairs(key: str, members: Iterable[bytes]) -> list[int]:
-    """Hash a key with each of many members, as `hash_key` does; the key is hashed once.
+    """Return ``hash_key(key, member)`` for each of many members, hashing the key only once.
 
     Parameters
     ----------
     members : iterable of bytes
-        Their encoded names.
+        Encoded names of the members.
     """
     begun = blake2b(key.encode() + b"\0", digest_size=8)
     hashes = []
--- a/halldoor/core/retry.py
+++ b/halldoor/core/retry.py
@@ -1,6 +1,6 @@
-"""Whether a request may be sent to another target: one answer for both request paths.
+"""Rules for sending a request again to another target, shared by both request paths.
 
-A budget bounds how many of those that may are: `hall.retry` and `targets.budget`.
+The number of retries is limited by the budgets in `hall.retry` and `targets.budget`.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 LEAST_TIME_S = 0.005
-"""Time that must be left for another attempt, in seconds: it could not even connect in less."""
+"""Least time left for another attempt, in seconds: less is not enough to connect."""
 
 
 class RetryObstacle(StrEnum):
-    """Why a request is not sent again; its words stand in answers and logs."""
+    """Reason why a request is not sent again; the values appear in answers and logs."""
 
     BODY_GONE = "its body can't be sent again"
     MAY_HAVE_RUN = "it may have run"
@@ -24,20 +24,20 @@
 
 
 class RetryFacts(NamedTuple):
-    """What decides whether a request may be sent again.
+    """The facts that decide whether a request may be sent again.
 
     Attributes
     ----------
     is_repeatable : bool
-        Running it twice does no harm.
+        Whether it may run more than once.
     may_have_run : bool
-        A target may have run it.
+        Whether a target may have run it.
     can_resend : bool
-        The whole of its body is still here.
+        Whether its whole body is still available.
     attempts, attempt_limit : int
-        Attempts so far, and how many there may be.
+        Number of attempts so far, and the most that are allowed.
     left_s : float
-        Time left for an answer, in seconds.
+        Time until the deadline, in seconds.
     """
 
     is_repeatable: bool
@@ -49,7 +49,7 @@
 
 
 def find_obstacle(facts: RetryFacts) -> RetryObstacle | None:
-    """Find what forbids to send a request again, budgets aside; None where nothing does."""
+    """Return why a request must not be sent again, apart from budgets; None if it may be."""
     if not facts.can_resend:
         return RetryObstacle.BODY_GONE
     if facts.may_have_run and not facts.is_repeatable:
--- a/halldoor/core/settings.py
+++ b/halldoor/core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: addresses, hall, platform and timings."""
+"""Settings of the entry and administration processes, and validation of plain data."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Address(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An IP number and a port; port 0 lets the kernel choose one."""
+    """An IP address and a port; port 0 lets the kernel choose a port."""
 
     ip: str
     port: int
@@ -29,17 +29,17 @@
     name : str
         Name of this entry in the hall's roster.
     hall : str
-        Hall it stands in.
+        Hall that the entry belongs to.
     http, wire : Address
-        Where it serves callers, and other entries.
+        Addresses at which it serves callers (HTTP) and other entries.
     platform : str
         URL of the platform's key-value service.
     decision_key : str
         Shared secret that signs decision records, 16 characters or more.
     source_ip : str
-        Address that connections to entries and the platform go out from; any if empty.
+        Local address of connections to entries and the platform; any if empty.
     peers : list of Address
-        Wire addresses of entries to learn from when the platform is down.
+        Wire addresses of entries from which to get the configuration when the platform is down.
     """
 
     name: str
@@ -76,21 +76,21 @@
 
 
 def parse(data: Any, kind: type[T], *, origin: str) -> T:
-    """Check plain data against a schema.
+    """Convert plain data to a type, and check it against the type's schema.
 
     Parameters
     ----------
     data : object
-        What YAML or JSON gave.
+        Plain data, as parsed from YAML or JSON.
     kind : type
-        The schema.
+        Type that defines the schema.
     origin : str
-        File name for messages.
+        Name of the file, for error messages.
 
     Raises
     ------
     SettingsError
-        Names the file, the path in it, what was given and what is wanted.
+        If the data doesn't match; names the file, the path in it, the given and the expected value.
     """
     try:
         return msgspec.convert(data, type=kind)
@@ -99,7 +99,7 @@
 
 
 def _name_remedy(problem: str, data: Any) -> str:
-    """Return what to do about a schema error, with the value that was given."""
+    """Return the remedy for a schema error, with the value that was given."""
     _, found, path = problem.partition(" - at `$")
     given = _follow(data, path.rstrip("`")) if found else data
     if "unknown field" in problem:
@@ -110,7 +110,7 @@
 
 
 def _follow(data: Any, path: str) -> Any:
-    """Follow a path such as ``.halls[0].name`` into plain data."""
+    """Return the value at a path such as ``.halls[0].name``, or the last one that exists on it."""
     for step in path.replace("[", ".").replace("]", "").split("."):
         if not step:
             continue
--- a/halldoor/tests/test_history.py
+++ b/halldoor/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Explanations from log lines."""
+"""``halldoor explain``: what happened to a request, from log lines."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert "answered 502 after 20 ms" in told
     assert "It may have run" in told
     assert "Target t2: answer lost (reset) after 18 ms; 3 in flight" in told
-    assert "load 1.5, 90 ms old" in told and "store heard 400 ms before" in told
+    assert "load 1.5, 90 ms old" in told and "last contact with the store 400 ms before" in told
     assert "1.00 s before, targets: Ejected a failing target. target t2" in told
     assert "2.00 s before, routing: In force. version 7" in told
     assert "t1" not in told
@@ -66,7 +66,7 @@
 
 
 def test_one_id_is_found_over_the_logs_of_all_entries(tmp_path):
-    """A caller that was refused comes back to another entry with the same id."""
+    """A refused caller retries at another entry with the same id: both entries are named."""
     logs = [tmp_path / f"{name}.log" for name in ("e1", "e2", "e3")]
     for log, status in zip(logs, (503, 200, 404), strict=True):
         fields = {"at": 5.0, "entry": log.stem, "status": status, "target": "t1"}
--- a/halldoor/tests/test_report.py
+++ b/halldoor/tests/test_report.py
@@ -1,4 +1,4 @@
-"""``halldoor report``: where requests lose time, from log lines."""
+"""``halldoor report``: slow, refused and failed requests, from log lines."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     def test_what_lost_one_target_is_not_listed(self):
         report = build_report(parse_lines([make_lost_line("d2", "t1")]))
         assert report.suspects == []
-        assert not any("lost under it" in line for line in describe_report(report))
+        assert not any("lost while running" in line for line in describe_report(report))
 
 
 def make_move_line(at, entry, *, before, after, reason="spilled"):
@@ -80,7 +80,9 @@
         assert (first.after, first.reasons) == ({"ams": 14, "grq": 6}, {"spilled": 1, "retried": 1})
         assert (second.since_start_s, second.part) == (8.0, 1.0)
         (told,) = [line for line in describe_report(report) if "0.30 moved" in line]
-        assert "ams 20 before, ams 14 grq 6 after; version 7, store heard up to 410 ms" in told
+        assert (
+            "ams 20 before, ams 14 grq 6 after; version 7, last contact with the store up to 410 ms"
+        ) in told
 
     def test_lines_without_figures_are_no_error(self):
         line = json.dumps({"event": "flow: Moved between regions.", "at": 1.0, "entry": "e1"})
