--- a/halldoor/core/explaining/__init__.py
+++ b/halldoor/core/explaining/__init__.py
@@ -1,1 +1,1 @@
-"""What became of a request and why: decisions, their log lines, and reports of many."""
+"""Explanations of what happened to requests, from decision records and log lines."""
--- a/halldoor/tests/test_admission.py
+++ b/halldoor/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The order of the checks before a request is let in, and what each of them takes."""
+"""Admission: the order of the checks, and which of them count against a quota."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Door:
-    """Routes, teams and an entry's part of their quotas."""
+    """An access table with one route and one team, and an entry's quota gate."""
 
     def __init__(self, *, team=NORTH, **route):
         routing = Routing(1, (make_route(**route),), {"deck": SERVICE}, CallerLimits(), (team,))
@@ -85,7 +85,7 @@
 
 class TestQuota:
     def test_a_team_without_a_burst_has_its_rate(self):
-        """Regression: an entry's own bucket of size 0 refused every request of such a team."""
+        """Regression: the entry's bucket of size 0 refused every request of a team with burst 0."""
         gate = QuotaGate("e1", 1, Random(1).random)
         gate.use({"north": TeamLimit(20.0, 0.0)})
         number = gate.close_period().periods[-1].number
--- a/halldoor/tests/test_identity.py
+++ b/halldoor/tests/test_identity.py
@@ -1,4 +1,4 @@
-"""Which requests count as the same, and whose they are."""
+"""Request identity: which requests have equal digests, and how callers are distinguished."""
 
 from __future__ import annotations
 
--- a/halldoor/tests/test_quarantine.py
+++ b/halldoor/tests/test_quarantine.py
@@ -1,4 +1,8 @@
-"""When a request is blocked, by whom it is known, and what lifts the block."""
+"""Quarantine: when a request is blocked or unblocked, which entries are notified, what is stored.
+
+Guards against a request that crashes each target that runs it, and is retried until the service
+has no targets left.
+"""
 
 from __future__ import annotations
 
@@ -58,7 +62,7 @@
         entry.take_messages(3.0)
         entry.note_end(OTHERS, "t9", 3.0)
         assert entry.find_block(Identity("d", "c3"), 3.0).ends == 4
-        # Who knows that it is blocked for one caller is told that it is for all.
+        # An entry that blocks it for one caller is notified that it is blocked for all.
         for message in entry.take_messages(3.0):
             other.take(message.evidence, 3.0)
         assert other.find_block(Identity("d", "c3"), 3.0) is not None
@@ -103,7 +107,7 @@
         end_targets(entry, 3)
         assert entry.find_block(D, USUAL.memory_s - 1.0) is not None
         assert entry.find_block(D, USUAL.memory_s + 1.0) is None
-        # Two ends are left, so that a further one blocks it again.
+        # Two crashes have not expired yet, so that a further one blocks it again.
         entry.note_end(D, "t9", USUAL.memory_s + 1.0)
         assert entry.find_block(D, USUAL.memory_s + 1.0) is not None
         assert entry.find_block(D, 2 * USUAL.memory_s) is None
--- a/halldoor/tests/test_teams.py
+++ b/halldoor/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Teams on the request path: keys, homes and quotas, against scripted targets."""
+"""Teams on the request path: keys, home regions and quotas, against scripted targets."""
 
 from __future__ import annotations
 
@@ -155,7 +155,7 @@
         run(check, targets=0, teams=[team(rate_per_s=0.1, burst=2.0)])
 
     def test_entries_count_together(self):
-        """Each of two entries alone would admit 8 at once, and 8 a second."""
+        """Two entries that don't share counts would each admit a burst of 8, and 8 a second."""
 
         async def check():
             async with open_pair(teams=[team(rate_per_s=8.0, burst=8.0)]) as (one, two):
--- a/properties/test_orders.py
+++ b/properties/test_orders.py
@@ -1,4 +1,4 @@
-"""Law: an operation is sent at most once per ticket, and "not run" stays true."""
+"""At-most-once operations: no operation is sent twice, and one reported as not run never runs."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 
 class Orders(RuleBasedStateMachine):
-    """Entries that crash and restart, and callers that repeat by ticket and by id."""
+    """Entries that crash and restart, and callers that repeat requests by ticket and by id."""
 
     @initialize()
     def start(self):
@@ -42,7 +42,7 @@
 
     @rule(name=st.sampled_from(ENTRIES), operation=st.sampled_from(IDS))
     def get_ticket(self, name, operation):
-        """Claim in the platform, then issue only where the claim is new or the line is known."""
+        """Claim the id, then issue a ticket if the claim is new or the ledger has its record."""
         me = Claim(name, self.entries[name].incarnation)
         is_new = operation not in self.shard.claims
         outcome = claim(self.shard, [operation], me)
@@ -56,13 +56,13 @@
 
     @rule(data=st.data())
     def present(self, data):
-        """Any caller presents any ticket, at its issuer's present process."""
+        """Present any ticket to the current process of its issuer."""
         if self.tickets:
             self.present_ticket(data.draw(st.sampled_from(self.tickets)))
 
     @rule(data=st.data())
     def present_refused(self, data):
-        """A late copy of a call whose caller was told no."""
+        """Present a delayed copy of a ticket whose caller was answered that it did not run."""
         if self.told_not_run:
             self.present_ticket(data.draw(st.sampled_from(sorted(self.told_not_run))))
 
@@ -84,7 +84,7 @@
 
     @rule(name=st.sampled_from(ENTRIES), operation=st.sampled_from(IDS))
     def order_that_is_shed(self, name, operation):
-        """A whole order that its target refuses with proof."""
+        """Run a whole operation that the target sheds, which proves that it did not run."""
         count = len(self.tickets)
         self.get_ticket(name, operation)
         for text in self.tickets[count:]:
@@ -107,7 +107,7 @@
         elif how == "unknown":
             ledger.settle_unknown(ticket, refuse_unknown(Reason.BROKEN, "x"))
         else:
-            # The target proved that it did not run: this sending does not count.
+            # The target proved that it did not run: this attempt does not count.
             self.sent[ticket.operation] -= 1
             self.told_not_run.add(text)
             ledger.settle_not_run(ticket, refuse(Reason.SHED, "x"))
@@ -121,8 +121,8 @@
 
 
 TestOrders = Orders.TestCase
-# Neither 80 nor 300 runs found a refused ticket that could be used again, before
-# `present_refused` tried just that.
+# Without `present_refused`, neither 80 nor 300 runs found a fault by which a refused ticket could
+# be used again.
 TestOrders.settings = settings(max_examples=150)
 
 
--- a/properties/test_quarantine.py
+++ b/properties/test_quarantine.py
@@ -1,4 +1,8 @@
-"""Laws of the quarantine: what it knows does not depend on how it came, and its bound holds."""
+"""Quarantine: evidence merges the same in any order, and crashes stop soon over all entries.
+
+Guards against evidence that is lost, late, duplicated or reordered between entries, so that some
+entry goes on sending a request that crashes targets.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from halldoor.standins.crashways import CollectorsAndRecord
 
 LATE_SENDS = 3
-"""Sendings that all entries together may make once all had time to know."""
+"""Most attempts that all entries together may make after the evidence had time to reach them."""
 TARGETS = st.sampled_from([f"t{i}" for i in range(6)])
 CALLERS = st.sampled_from(["c1", "c2"])
 EVIDENCE = st.builds(
@@ -84,7 +88,7 @@
     seed=st.integers(0, 1000),
 )
 def test_all_entries_together_stop_in_time(entries, rate, trouble, seed):
-    # The messages and the store may fail, but not both at once: then nothing is left to know by.
+    # Messages and the store don't fail at the same time: entries would have no way to learn.
     if trouble.cut_s[0] < 99.0:
         trouble = trouble._replace(away_s=(99.0, 99.0))
     run = Run(Fleet(entries=entries, bad_per_s=rate), trouble, seed=seed)
--- a/properties/test_retry.py
+++ b/properties/test_retry.py
@@ -1,4 +1,4 @@
-"""What both request paths keep when they decide about another attempt."""
+"""Retry rules of both request paths: what must run once is not repeated, the rest is allowed."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/properties/test_shifts.py
+++ b/properties/test_shifts.py
@@ -1,4 +1,4 @@
-"""Laws of shifts, routing, blocks and revisions."""
+"""Properties of shift caps, routing, client blocks, revisions, health and routing policies."""
 
 import random
 from ipaddress import ip_network
@@ -28,7 +28,7 @@
     st.randoms(use_true_random=False),
 )
 def test_moved_never_exceeds_cap_times_total_over_any_run(caps, rng):
-    """For every cap in force, moved <= sum of cap over its requests, at every instant."""
+    """After each request, moves stay within the sum of the caps in force, also under each cap."""
     meter = ShiftMeter(0.0)
     allowed, under_cap = 0.0, {"moved": 0, "total": 0}
     for cap, requests in caps:
@@ -78,7 +78,7 @@
     st.booleans(),
 )
 def test_all_causes_together_stay_within_each_cap(clients, cap, other_cap, failover, is_down):
-    """Two shifts to the same region and failover: what lands there fits the smallest cap."""
+    """Two shifts and failover move to one region: all moves together fit the smaller shift cap."""
     shifts = [
         {
             "name": n,
--- a/properties/test_slots.py
+++ b/properties/test_slots.py
@@ -1,4 +1,8 @@
-"""Law: never more requests at a target than it has slots, whoever is cut, frozen or replaced."""
+"""Slots: a target never runs more requests than it has slots.
+
+Guards against two entries that use one slot because one of them is cut off, suspended, restarted,
+or has not adopted a new roster.
+"""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,7 +16,7 @@
 
 
 class Hall(RuleBasedStateMachine):
-    """Three entries with clocks of their own, lost messages, freezes, kills, roster changes."""
+    """Three entries with drifting clocks, lost messages, suspensions, crashes, roster changes."""
 
     @initialize(drift=st.lists(st.sampled_from([1.0, 1.0 + CLOCK_MARGIN, 0.985]), min_size=3))
     def start(self, drift):
@@ -23,7 +27,7 @@
         for name in NAMES:
             self.boot(name, rest={})
         self.holds = {name: [] for name in NAMES}
-        # Requests at the target: key and the true time until which each may run there.
+        # Requests at the targets: slot, and the true time until which each may run.
         self.running = []
 
     def clock(self, name):
@@ -75,7 +79,7 @@
 
     @rule(name=st.sampled_from(NAMES), where=st.sampled_from(sorted(SLOTS)))
     def acquire_and_send(self, name, where):
-        """What a healthy entry does, and an overload needs."""
+        """Acquire a slot and send at once, as a healthy entry does; this fills all slots."""
         self.expire(name)
         self.acquire(name, where)
         self.send_last(name)
@@ -87,7 +91,7 @@
         frozen_s=st.sampled_from([0.0, 1.0, 1.9, 2.1]),
     )
     def borrow_freeze_and_send(self, lender, borrower, where, frozen_s):
-        """The borrower is frozen between its loan and its sending."""
+        """Borrow a slot, and send on it after the borrower was suspended for a time."""
         self.borrow(lender, borrower, where, 0.0)
         self.wait(frozen_s)
         self.send_last(borrower)
@@ -98,7 +102,7 @@
 
     @rule(name=st.sampled_from(NAMES), data=st.data())
     def send(self, name, data):
-        """Send on a hold, if it still stands; a frozen entry does so when it wakes."""
+        """Send on a hold that has not expired, as a suspended entry does when it resumes."""
         if not self.holds[name]:
             return
         index = data.draw(st.integers(0, len(self.holds[name]) - 1))
@@ -122,7 +126,7 @@
         first=st.sampled_from(NAMES),
     )
     def change_roster(self, roster, first):
-        """A new roster that one entry learns of at once, and the others later."""
+        """Change the roster: one entry adopts it at once, the others later."""
         if len(self.rosters) < 4 and roster != self.rosters[-1]:
             self.rosters.append(roster)
             self.learn_roster(first)
@@ -154,7 +158,7 @@
 
 
 TestHall = Hall.TestCase
-# With more slots and 80 runs, three broken mechanisms went unnoticed.
+# With more slots and only 80 runs, three deliberately broken mechanisms were not detected.
 TestHall.settings = settings(max_examples=200)
 
 
