--- a/properties/test_slots.py
+++ b/properties/test_slots.py
@@ -158,7 +158,7 @@
 
 
 TestHall = Hall.TestCase
-# With more slots and only 80 runs, three deliberately broken mechanisms were not detected.
+# With more slots and only 80 runs, three broken mechanisms were not detected.
 TestHall.settings = settings(max_examples=200)
 
 
