--- a/halldoor/core/explaining/report.py
+++ b/halldoor/core/explaining/report.py
@@ -41,7 +41,7 @@
     ----------
     group : tuple of str
         Values that the requests have in common, such as the service.
-    counts : dict of Ended to int
+    counts : dict of RequestOutcome to int
         Number of requests by outcome.  Ordinary successes are sampled, and each logged one counts
         as several.
     median_ms, high_ms : int
--- a/halldoor/core/explaining/withdrawals.py
+++ b/halldoor/core/explaining/withdrawals.py
@@ -51,7 +51,7 @@
         The entry that knew last.
     unaware : int
         Number of entries that were running then and never logged that they knew.
-    last : Sending or None
+    last : SentRequest or None
         The last request that was sent to the target after the withdrawal; None if there was none.
     """
 
--- a/halldoor/core/hall/slots.py
+++ b/halldoor/core/hall/slots.py
@@ -167,7 +167,7 @@
         Parameters
         ----------
         adopted : collection of str
-            Entries that are known to have adopted the roster or to be stopped.
+            Entries that have certainly adopted the roster or have certainly stopped.
         now : float
             Monotonic time, in seconds.
         """
--- a/halldoor/core/orders/claim.py
+++ b/halldoor/core/orders/claim.py
@@ -88,7 +88,7 @@
 
     Returns
     -------
-    Claimed
+    ClaimOutcome
         The new shard, to be stored by compare-and-swap, and the claim in force for each id.
     """
     claims = dict(shard.claims)
--- a/halldoor/core/quarantine/quarantine.py
+++ b/halldoor/core/quarantine/quarantine.py
@@ -25,7 +25,7 @@
 SOUND_KEPT = 4096
 """Requests whose last answer is kept: about the last 50 s of a busy entry."""
 LEAST_TOLD = 2
-"""Crashes from which all entries are notified: a single crash mostly has another cause."""
+"""Crashes from which evidence is broadcast and stored: a single one mostly has another cause."""
 REPEATS_S = (0.3, 1.0)
 """Delays after which a block is broadcast again, in seconds: an entry may lose two messages."""
 RECORD_DELAY_S = 1.0
@@ -298,9 +298,8 @@
     def _plan_record(self, watch: Watch, now: float) -> None:
         """Plan when this entry writes a record unless another entry has written it by then.
 
-        The first collector writes at once.  Later collectors, and entries that saw a crash, wait
-        for their turn if they have received a broadcast; without one, they assume that no
-        collector can be reached.
+        The first collector writes at once.  Others wait for their turn if they have received a
+        broadcast; without one, they assume that no collector can be reached.
         """
         planned_at, watch.record_at = watch.record_at, None
         is_worth = watch.case.count_ends() >= LEAST_TOLD or watch.recorded is not None
--- a/halldoor/core/quarantine/watch.py
+++ b/halldoor/core/quarantine/watch.py
@@ -14,16 +14,16 @@
         Its crashes and answers.
     is_blocked : bool
         Whether it is blocked for at least one caller.
-    sent_broadcast : Evidence or None
+    last_sent : Evidence or None
         Evidence that this entry broadcast last, as a collector.
     recorded : Evidence or None
         Evidence that the store holds.
     record_at, rebroadcast_at : float or None, list of float
         When to write it to the store, and when to broadcast it again; in seconds of the clock of
         ``now``.
-    received_broadcast : Evidence or None
+    last_received : Evidence or None
         Evidence that another entry broadcast last.
-    notified_collectors : tuple of str
+    notified : tuple of str
         Collectors that were sent the crashes that this entry saw.
     trials_taken : set of int
         Numbers of the trial runs that have been used.
--- a/halldoor/core/teams/ledger.py
+++ b/halldoor/core/teams/ledger.py
@@ -42,7 +42,7 @@
 START_LEVEL = -0.5
 """Level of a bucket when its collector starts to count, in parts of the burst.
 
-What was admitted just before is not known: starting at 0 after a restart would let a team that is
+Requests admitted just before are not counted: starting at 0 after a restart would let a team that is
 at its limit exceed it.  A team below its rate is not affected after the first second.
 """
 BUCKET_SHARE = 0.9
@@ -225,7 +225,7 @@
         ]
         unheard: Counter[str] = Counter()
         if not late:
-            return unheard  # The usual case; adding up all entries' counts takes milliseconds.
+            return unheard  # The common case; adding up all entries' counts takes milliseconds.
         usual = self._find_usual(now, period_s=period_s)
         for reporter, periods in late:
             # A team whose requests just rose has risen at the entries with late reports, too.
