--- a/halldoor/core/quarantine/quarantine.py
+++ b/halldoor/core/quarantine/quarantine.py
@@ -63,7 +63,7 @@
 
 
 class Block(NamedTuple):
-    """Why a blocked request is not sent, and when it may run again.
+    """The block of a request: why it is not sent, and when it may run again.
 
     Attributes
     ----------
--- a/halldoor/core/teams/ledger.py
+++ b/halldoor/core/teams/ledger.py
@@ -42,8 +42,8 @@
 START_LEVEL = -0.5
 """Level of a bucket when its collector starts to count, in parts of the burst.
 
-Requests admitted just before are not counted: starting at 0 after a restart would let a team that is
-at its limit exceed it.  A team below its rate is not affected after the first second.
+Requests admitted just before are not counted: starting at 0 after a restart would let a team that
+is at its limit exceed it.  A team below its rate is not affected after the first second.
 """
 BUCKET_SHARE = 0.9
 """Part of a team's burst that the collector grants; the rest covers requests that are admitted
