--- a/halldoor/core/hall/health.py
+++ b/halldoor/core/hall/health.py
@@ -11,13 +11,21 @@
 from typing import NamedTuple
 
 FAILURES_TO_EJECT = 3
+"""Failures in a row that eject a target."""
 EJECT_S = 2.0
+"""Length of a target's first ejection, in seconds; each further one takes twice as long."""
 EJECT_LIMIT_S = 30.0
+"""Longest ejection, in seconds."""
 LEAVING_MEMORY_S = 4.0
+"""Time for which a report that a target is leaving counts, in seconds."""
 REPORT_MEMORY_S = 5.0
+"""Time for which a report that a target is unhealthy counts, in seconds."""
 RAMP_S = 10.0
+"""Time for which a target counts as cold, in seconds."""
 RAMP_FLOOR = 0.34
+"""Share of its slots that a target uses when its ramp starts."""
 LATENCY_WEIGHT = 0.2
+"""Weight of a new answer in the moving average of latencies."""
 
 
 class TargetView(NamedTuple):
--- a/halldoor/core/hall/membership.py
+++ b/halldoor/core/hall/membership.py
@@ -12,6 +12,7 @@
 from halldoor.core.placement import rank
 
 SUSPECT_AFTER_S = 2.5
+"""Time without a heartbeat after which an entry no longer counts as alive, in seconds."""
 
 
 class TargetReport(NamedTuple):
--- a/halldoor/core/orders/claim.py
+++ b/halldoor/core/orders/claim.py
@@ -18,6 +18,7 @@
 from halldoor.core.placement import hash_key
 
 SHARDS = 64
+"""Number of shards over which claims are distributed."""
 CLAIMS_PER_SHARD = 6_000
 """Most claims in a shard: at about 90 bytes each, well below the platform's limit of 1 MB."""
 
--- a/halldoor/core/steering/block.py
+++ b/halldoor/core/steering/block.py
@@ -18,6 +18,7 @@
 CHUNK_BLOCKS = 8_192
 """Most rows in one chunk: 49 kB."""
 NO_HALL = 0xFFFF
+"""Hall number of addresses that no block holds."""
 _ROW_BYTES = 6
 _SPACE_BITS = 32
 
--- a/halldoor/core/steering/revision.py
+++ b/halldoor/core/steering/revision.py
@@ -20,6 +20,7 @@
 HEAD_KEY = "config/head"
 PART_PREFIX = "config/part/"
 PART_LIMIT = 1_000_000
+"""Largest part that the platform stores, in bytes."""
 BLOCK_INDEX = "block_index"
 """Name of the part that lists the chunks of client blocks with their digests."""
 _TARGETS_PER_PART = 500
--- a/halldoor/core/steering/routing.py
+++ b/halldoor/core/steering/routing.py
@@ -9,6 +9,7 @@
 from halldoor.core.steering.snapshot import Destination, ServiceView
 
 FAILOVER = "failover"
+"""Name of the failover cap, and reason of moves that it limits."""
 
 
 class Step(NamedTuple):
--- a/halldoor/core/teams/ledger.py
+++ b/halldoor/core/teams/ledger.py
@@ -228,7 +228,7 @@
             return unheard  # The common case; adding up all entries' counts takes milliseconds.
         usual = self._find_usual(now, period_s=period_s)
         for reporter, periods in late:
-            # A team whose requests just rose has risen at the entries with late reports, too.
+            # A sudden rise of a team's requests is assumed at entries with late reports, too.
             admitted = usual | Counter({c.team: c.admitted for c in reporter.last_counts})
             if periods < FRESH_PERIODS:
                 unheard.update({team: n * periods for team, n in admitted.items()})
