--- a/halldoor/gateway/access.py
+++ b/halldoor/gateway/access.py
@@ -1,4 +1,4 @@
-"""Let callers' requests in by the configuration in force, and tell callers why not."""
+"""Admission of callers' requests by the current configuration, and the answers to refused ones."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class CallerAccess:
-    """Decide which requests are let in.
+    """Admission check of requests against routes, teams and quotas.
 
     Parameters
     ----------
     catalog : Catalog
-        The configuration in force, and how many entries share the quotas.
+        Provides the current configuration and the number of entries that share the quotas.
     gate : QuotaGate
-        This entry's part of the quotas.
+        This entry's share of the quotas.
     splitter : Splitter
-        Told which routes there are.
+        Notified when the set of routes changes.
     is_confirming : callable
-        Tells whether the process stood still and has not asked the store since.
+        Returns whether the process was suspended and has not reached the store since.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
 
     @property
     def has_teams(self) -> bool:
-        """Check whether callers need keys."""
+        """Check whether the configuration has teams, so that callers need keys."""
         table = self.find_table()
         return table is not None and table.has_teams
 
     def find_table(self) -> AccessTable | None:
-        """Return the routes and teams in force; None where no configuration is known."""
+        """Return the current routes and teams; None before a configuration was received."""
         routing = self._catalog.routing
         if routing is None:
             return None
@@ -72,9 +72,9 @@
         return self._table
 
     def enter(self, head: Head, now: float) -> Entrance | Refusal:
-        """Decide about a request by its head."""
+        """Admit a request by its head: return its route and team, or the refusal."""
         if self._is_confirming():
-            # Nobody knows how long it lay unread: its caller may have given up long ago.
+            # The request may have waited unread during the suspension: its caller may be gone.
             return Refusal(RefusalReason.STOOD_STILL)
         table = self.find_table()
         if table is None:
@@ -91,7 +91,7 @@
         )
 
     def build_answer(self, refusal: Refusal) -> Answer:
-        """Build the answer to a refused request; one over its quota says when to come back."""
+        """Build the answer to a refused request, with the quota's retry time if it has one."""
         after_s = RETRY_AFTER_S
         if refusal.quota is not None:
             after_s = refusal.quota.retry_after_s
--- a/halldoor/gateway/attempt.py
+++ b/halldoor/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""A request on its way through the gateway: its attempts so far, and how it ended."""
+"""State of a request in the gateway: its attempts so far and its final result."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 from halldoor.gateway.headers import Headers
 
 RETRY_AFTER_S = 0.1
-"""When a refused caller may come back at the soonest, in seconds: the time of a quick request."""
+"""Least ``Retry-After`` for a refused caller, in seconds: the duration of a quick request."""
 RETRY_SPREAD = 0.25
-"""Part by which these times differ, so that refused callers don't return all at once."""
+"""Fraction by which ``Retry-After`` is randomized, so that callers don't return all at once."""
 REST_SPREAD = 0.5
-"""The same, of the time until the first target wants requests again."""
+"""Fraction by which ``Retry-After`` may grow when all targets asked for a pause; it never shrinks,
+since nothing is served earlier."""
 ROUNDING_S = 0.01
-"""Time that is lost where a time to come back is written, in seconds."""
+"""Time added because ``Retry-After`` is written with two decimals, in seconds."""
 RETRY_AFTER_MOST_S = 0.8
-"""Latest such time, in seconds: a third of what callers have left of 2.5 s, past which they return
-all the same."""
+"""Greatest ``Retry-After`` without a request of targets, in seconds: a third of what callers have
+left of 2.5 s, after which they return in any case."""
 DEFAULT_DEADLINE_S = 30.0
-"""Time for a request whose caller names no deadline, in seconds."""
+"""Time for a request whose caller sends no deadline, in seconds."""
 NOT_RUN_STATUSES = (429, 503)
-"""Statuses that promise that the request did not run, and ask the caller to come back."""
+"""Statuses that promise that the request did not run and carry ``Retry-After``."""
 
 
 class AttemptResult(StrEnum):
-    """How one attempt at a target ended."""
+    """Result of one attempt at a target."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -54,36 +55,36 @@
 
 
 class TargetView(NamedTuple):
-    """What the entry believed of a target when it chose it; part of the log line.
+    """This entry's data on a target when it chose it; part of the request's log line.
 
     Attributes
     ----------
     in_flight : int
-        This entry's own requests on it, the new one not counted.
+        This entry's running requests on the target, without the new one.
     others : float
-        Estimate of other entries' requests on it.
+        Estimated running requests of other entries on the target.
     load : float
-        Load that it reported last, in multiples of its slots.
+        Load last reported by the target, in multiples of its slots.
     load_age_ms : int or None
-        Age of that report; None where there is none.
+        Age of that report; None if there is none.
     load_old_ms : int
-        Age from which such a report hardly counts.
+        Age from which a load report has little weight.
     pressure : float
-        Load that it had lately, in multiples of its slots.
+        Recent load of the target, in multiples of its slots.
     is_cold : bool
-        The entry held it for cold.
+        Whether this entry considered the target cold.
     limit_per_s : float or None
-        Limit that the target names, or the rate to which it returns after one; None without.
+        Rate limit set by the target, or its recovering rate after one; None if unlimited.
     state_age_ms : int
-        Age of the newest information on whether it is cold.
+        Age of the newest information on whether the target is cold.
     distance : Distance
-        Whether it stands in this entry's hall, its region or farther away.
+        Whether the target is in this entry's hall, in its region or farther away.
     place : int
-        Its place in the key's order, from 0; targets not worth trying don't count.
+        Rank of the target in the key's order, from 0; unusable targets are not counted.
     has_sent_key : bool
-        This entry had an answer for the key from it.
+        Whether this entry received an answer for the key from the target before.
     expected_ms, expected_wait_ms : int
-        Expected time to the answer, and the wait for a slot in it.
+        Expected time to the answer, and the wait for a slot included in it.
     """
 
     in_flight: int
@@ -108,15 +109,15 @@
     Attributes
     ----------
     detail : str
-        Status of the answer, or what went wrong.
+        Status of the answer, or the cause of the failure.
     took_ms : int
-        Time of all of it, in milliseconds.
+        Duration of the attempt, in milliseconds.
     connect_ms : int
-        Part of that until the connection was there; 0 for a kept one.
+        Time to open the connection, in milliseconds, included in `took_ms`; 0 for a kept one.
     is_reused : bool
-        The connection was kept from an earlier exchange.
+        Whether the connection was kept from an earlier exchange.
     statement : TargetStatement
-        What the target said of itself in its answer.
+        Limit, drain notice and retry time that the target reported in its answer.
     """
 
     target: str
@@ -129,7 +130,7 @@
     statement: TargetStatement = TargetStatement()
 
     def to_fields(self) -> dict[str, Any]:
-        """Return the fields of the log line."""
+        """Return the attempt's fields for the request's log line."""
         return {
             "target": self.target,
             "result": self.result.value,
@@ -143,18 +144,18 @@
 
 
 class Ending(NamedTuple):
-    """How a request ended.
+    """Final result of a request: the answer's status and what is logged.
 
     Attributes
     ----------
     outcome : str
-        A few words for the log and, in an answer of the gateway's own, for the caller.
+        Short description for the log and the body of the gateway's own answer.
     target : str
-        The target whose answer was passed on; empty for an answer of the gateway's own.
+        The target whose answer was forwarded; empty if the gateway answered itself.
     retry_after_s : float
-        When the caller may come back, in seconds, where the request did not run.
+        Time after which the caller may retry, in seconds, if the request did not run.
     is_asked : bool
-        Targets asked for this time: nothing is served before.
+        Whether targets requested this time, so that no retry succeeds earlier.
     """
 
     status: int
@@ -165,12 +166,12 @@
 
 
 class RequestState:
-    """One request on its way: its route, and its attempts so far.
+    """Route, team, affinity key and attempts of one running request.
 
     Attributes
     ----------
     identity : Identity
-        What makes it the same as others; empty until its body is read.
+        Digest and caller that the quarantine recognizes it by; empty until its body is read.
     """
 
     def __init__(
@@ -187,12 +188,12 @@
 
     @property
     def tried(self) -> list[str]:
-        """Targets that had an attempt."""
+        """Names of the targets of all attempts."""
         return [attempt.target for attempt in self.attempts]
 
     @property
     def sent_count(self) -> int:
-        """Attempts that reached their target."""
+        """Number of attempts that reached their target."""
         return sum(attempt.result.was_sent for attempt in self.attempts)
 
     @property
@@ -208,16 +209,16 @@
         room_after_s: float = 0.0,
         is_asked: bool = False,
     ) -> Ending:
-        """Build the ending of a request that no target answered.
+        """Build the result of a request that no target answered.
 
         Parameters
         ----------
         is_late : bool, optional
-            The time ran out.
+            Whether its time ran out.
         room_after_s : float, optional
-            When there should be room for it, in seconds, where that is known.
+            Expected time until a target has a free slot, in seconds; 0 if unknown.
         is_asked : bool, optional
-            Targets asked for this time: nothing is served before.
+            Whether targets requested this time, so that no retry succeeds earlier.
         """
         if not self.may_have_run:
             if is_asked:
@@ -227,12 +228,12 @@
         return Ending(504 if is_late else 502, reason)
 
     def build_last_failure(self, obstacle: RetryObstacle, *, rest_s: float = 0.0) -> Ending:
-        """Build the ending of a request whose last attempt failed and is not repeated.
+        """Build the result of a request whose last attempt failed and may not be retried.
 
         Parameters
         ----------
         rest_s : float, optional
-            How much longer all targets want no requests, in seconds; 0 where one does.
+            Time until the first target accepts requests again, in seconds; 0 if one does now.
         """
         last = self.attempts[-1]
         reason = f"{last.target}: {last.result}, {last.detail}; {obstacle}"
@@ -245,7 +246,7 @@
 
 
 def read_ms(value: bytes) -> float:
-    """Read milliseconds from a header, as seconds; the default deadline where it has none."""
+    """Parse a deadline header in milliseconds; return seconds, or the default if unreadable."""
     try:
         return max(0.0, float(value) / 1000)
     except ValueError:
@@ -253,17 +254,17 @@
 
 
 def spread(after_s: float, source: Random) -> float:
-    """Spread a time to come back."""
+    """Randomize a retry time in both directions, so that callers don't return together."""
     return after_s * source.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD)
 
 
 def spread_later(after_s: float, source: Random) -> float:
-    """Spread a time to come back before which nothing is served."""
+    """Randomize a retry time upwards only, since no target serves earlier."""
     return after_s * source.uniform(1.0, 1.0 + REST_SPREAD) + ROUNDING_S
 
 
 def build_own_answer(status: int, reason: str, *, retry_after_s: float = RETRY_AFTER_S) -> Answer:
-    """Build an answer of the gateway's own; one that did not run says when to come back."""
+    """Build an answer from the gateway itself, with ``Retry-After`` if the request did not run."""
     headers: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
     if status in NOT_RUN_STATUSES:
         headers.append((b"Retry-After", f"{retry_after_s:.2f}".encode()))
--- a/halldoor/gateway/body.py
+++ b/halldoor/gateway/body.py
@@ -1,4 +1,4 @@
-"""Read a caller's request: its body as far as it is known before anything is sent on."""
+"""Reading and identification of a caller's request before it is sent to a target."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 async def read_request(
     caller: CallerConnection, state: RequestState, headers: Headers, expires_at: float
 ) -> OutgoingRequest | Ending:
-    """Read the body up to the limit of the buffer, and identify the request.
+    """Read the body up to `BODY_BUFFER_BYTES`, and identify the request for the quarantine.
 
     Parameters
     ----------
     headers : Headers
-        What goes on to a target.
+        Header fields that are sent to the target.
     expires_at : float
-        When the time for an answer ends, on the loop's clock.
+        Deadline for the answer, on the loop's clock.
     """
     body = bytearray()
     rest: CallerConnection | None = caller
@@ -52,7 +52,7 @@
 def _identify(
     caller: CallerConnection, state: RequestState, body: bytes, *, is_whole: bool
 ) -> Identity:
-    """Identify a request."""
+    """Compute the identity of a request from its caller, head and buffered body."""
     head = state.head
     return identify_request(
         state.team,
--- a/halldoor/gateway/exchange.py
+++ b/halldoor/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Carry one caller's request to a target and its answer back."""
+"""Send one request to a target, read its answer and classify the outcome."""
 
 from __future__ import annotations
 
@@ -21,38 +21,38 @@
 from halldoor.gateway.pool import TargetPool
 
 BODY_BUFFER = 524_288
-"""Bytes of a body that are read before it is sent on; longer ones stream behind them.
+"""Bytes of a body that are buffered before sending; the rest of a longer one is streamed.
 
-A request whose body is whole can be sent to a second target after the first turned it away.
+A request whose body is buffered whole can be retried at another target after a rejection.
 """
 ANSWER_BUFFER = 262_144
-"""Bytes of an answer that are read before its head is passed on.
+"""Bytes of an answer that are buffered before its head is forwarded.
 
-A break within them is seen in time to try again or to say that the answer was lost.
+If the connection breaks within them, the request can still be retried or answered with an error.
 """
 SURPLUS_LIMIT = 3
-"""Answers of earlier exchanges that are passed over before a request's own is given up.
+"""Answers of earlier exchanges that are skipped while waiting for a request's own.
 
-A target sends one too many at a time; more mean that the connection is out of step.
+A faulty target sends one surplus answer at a time; more mean that the connection is out of sync.
 """
 ANSWER_SLACK_S = 0.1
-"""Time beyond the deadline that a target was given, for its own last answer to arrive, in seconds.
+"""Time to wait beyond the deadline sent to a target, for its last answer to arrive, in seconds.
 
 One round trip between the farthest regions.
 """
 
 
 class OutgoingRequest(NamedTuple):
-    """What is sent to a target.
+    """A request ready to be sent to a target.
 
     Attributes
     ----------
     body : bytes
-        The body, or its beginning.
+        The body, or its buffered beginning.
     rest : CallerConnection or None
-        Where the rest of a long body comes from.
+        Connection from which the rest of a long body is read; None if `body` is whole.
     expires_at : float
-        When the time for an answer ends, on the loop's clock.
+        Deadline for the answer, on the loop's clock.
     """
 
     head: Head
@@ -65,14 +65,14 @@
 
 
 class Connecting(NamedTuple):
-    """How the connection for a request was had.
+    """How the connection for a request was obtained.
 
     Attributes
     ----------
     took_s : float
-        Time until it was there, in seconds.
+        Time to obtain it, in seconds.
     is_reused : bool
-        It was kept from an earlier exchange.
+        Whether it was kept from an earlier exchange.
     """
 
     took_s: float = 0.0
@@ -80,20 +80,26 @@
 
 
 class WholeAnswer(NamedTuple):
-    """The target's answer, whole."""
+    """The target's complete answer."""
 
     answer: Answer
 
 
 class PartialAnswer(NamedTuple):
-    """The beginning of a long answer; the rest is still to come."""
+    """The beginning of a long answer; the rest is read from the connection."""
 
     answer: Answer
     connection: HttpConnection
 
 
 class Rejected(NamedTuple):
-    """The target says that it did not run the request."""
+    """The target rejected the request and did not run it.
+
+    Attributes
+    ----------
+    is_other_incarnation : bool
+        Whether another incarnation than the expected one listens at the address.
+    """
 
     status: int
     is_other_incarnation: bool
@@ -101,12 +107,12 @@
 
 
 class ConnectFailed(NamedTuple):
-    """No connection came up: the request was not sent.
+    """The connection could not be opened, so the request was not sent.
 
     Attributes
     ----------
     is_refused : bool
-        Nobody listens there any more.
+        Whether no process listens at the address any more.
     """
 
     detail: str
@@ -114,12 +120,12 @@
 
 
 class AnswerLost(NamedTuple):
-    """No answer came back; the request may have run.
+    """The request was sent but no valid answer arrived; it may have run.
 
     Attributes
     ----------
     is_closed : bool
-        The connection ended under the request: the target may have ended too.
+        Whether the connection closed during the request: the target may have crashed.
     """
 
     detail: str
@@ -127,11 +133,11 @@
 
 
 class TimedOut(NamedTuple):
-    """The time for an answer ended; the request may have run."""
+    """The deadline passed after the request was sent; it may have run."""
 
 
 class NotSent(NamedTuple):
-    """The time for an answer ended before the request was sent."""
+    """The deadline passed before the request was sent."""
 
 
 class Withdrawn(NamedTuple):
@@ -139,7 +145,7 @@
 
 
 class BodyFailed(NamedTuple):
-    """The caller's body broke off or passed the limit; the target's connection was closed."""
+    """The caller's body was incomplete or too long; the target's connection was closed."""
 
     detail: str
 
@@ -158,11 +164,11 @@
 
 
 class DeadlinePassedError(Exception):
-    """A request's time ended before it was sent."""
+    """The deadline of a request passed before it was sent."""
 
 
 class Exchanger:
-    """Send requests to targets over kept and new connections.
+    """Sender of requests to targets over kept and new connections.
 
     Parameters
     ----------
@@ -171,7 +177,7 @@
     names : HeaderNames
         Header names that targets use.
     can_send : callable
-        Whether a target, by its incarnation, still takes requests.
+        Returns whether a target, by its incarnation, still accepts requests.
     """
 
     def __init__(
@@ -182,14 +188,15 @@
         self._can_send = can_send
 
     def build_headers(self, head: Head, *, team: str, has_teams: bool) -> Headers:
-        """Take the caller's fields that go on to the target.
+        """Return the caller's header fields that are forwarded, with the team's name added.
 
         Parameters
         ----------
         team : str
-            Whose the request is; empty for none.
+            Team of the request; empty for none.
         has_teams : bool
-            The configuration has teams: then no key goes on, nor a team's name that a caller sent.
+            Whether the configuration has teams: if so, credentials and a team name sent by the
+            caller are not forwarded.
         """
         names = self._names
         own = {b"expect", names.deadline_ms, names.expected_incarnation}
@@ -216,7 +223,7 @@
                     return Withdrawn(), connecting
                 outcome = await self._exchange(connection, outgoing, incarnation)
             if not isinstance(outcome, PartialAnswer):
-                # It closes the connection where the exchange did not end cleanly.
+                # Closes the connection if the exchange did not complete.
                 self._pool.release(incarnation, connection)
             is_settled = True
             return outcome, connecting
@@ -224,7 +231,7 @@
             if connection is None or not connection.has_sent:
                 return NotSent(), connecting
             if connecting.is_reused:
-                # Nobody can tell a slow target from a connection that lost its peer long ago.
+                # A slow target looks the same as a connection that lost its peer long ago.
                 self._pool.note_loss(incarnation, is_silent=False)
             return TimedOut(), connecting
         except ConnectionFailedError as exc:
@@ -241,7 +248,7 @@
     async def _exchange(
         self, connection: HttpConnection, outgoing: OutgoingRequest, incarnation: str
     ) -> Outcome:
-        """Send and receive at once: a target may answer before it has read the whole body."""
+        """Send and receive concurrently: a target may answer before it has read the whole body."""
         connection.start()
         sender = asyncio.get_running_loop().create_task(
             self._send_request(connection, outgoing, incarnation)
@@ -262,7 +269,7 @@
     async def _connect(
         self, outgoing: OutgoingRequest, incarnation: str, address: Address
     ) -> HttpConnection:
-        """Take a kept connection, or open one."""
+        """Return a kept connection, or open a new one."""
         kept = self._pool.take_idle(incarnation, outgoing.kind)
         if kept is not None:
             return kept
@@ -272,11 +279,11 @@
     async def _send_request(
         self, connection: HttpConnection, outgoing: OutgoingRequest, incarnation: str
     ) -> None:
-        """Send head and body."""
+        """Send the head and the body, streaming the rest of a long one from the caller."""
         names = self._names
         left_ms = (outgoing.expires_at - asyncio.get_running_loop().time()) * 1000
         if left_ms <= 0:
-            # The machine may have been suspended at any moment before: nobody waits any more.
+            # A suspension of the host may have outlasted the deadline: the caller has given up.
             raise DeadlinePassedError
         headers = [
             *outgoing.headers,
@@ -299,7 +306,7 @@
         await connection.send(h11.EndOfMessage())
 
     async def _read_answer(self, connection: HttpConnection, outgoing: OutgoingRequest) -> Outcome:
-        """Read the answer's head, and its body up to the limit of the buffer."""
+        """Read the answer's head and its body up to `ANSWER_BUFFER_BYTES`."""
         response = await self._read_head(connection, outgoing)
         headers = list(response.headers.raw_items())
         problem = self._find_problem(response.status_code, headers, outgoing)
@@ -317,10 +324,10 @@
     async def _read_head(
         self, connection: HttpConnection, outgoing: OutgoingRequest
     ) -> h11.Response:
-        """Read the head of the request's own answer; surplus ones before it are passed over.
+        """Read the head of the answer to this request, skipping surplus answers before it.
 
-        A target may answer an earlier request of the connection twice, and so late that the
-        second answer arrives where the next one is due.
+        A faulty target may answer an earlier request of the connection twice, so late that the
+        second answer arrives in place of the next request's answer.
         """
         surplus = 0
         while True:
@@ -328,7 +335,8 @@
             if isinstance(response, h11.InformationalResponse):
                 continue
             own = find(response.headers, self._names.attempt_id) == outgoing.attempt_id
-            # Which body the next answer has, if any, is known by the method; not after skipping.
+            # h11 derives from the request's method whether an answer has a body, and loses that
+            # information after a skipped answer: so answers to HEAD are not skipped.
             can_skip = connection.can_skip_answer() and outgoing.head.method != b"HEAD"
             if own or surplus >= SURPLUS_LIMIT or not can_skip:
                 return response
@@ -336,7 +344,7 @@
             await connection.skip_answer()
 
     def _find_problem(self, status: int, headers: Headers, outgoing: OutgoingRequest) -> str:
-        """Return why an answer can't be the target's to this request; empty where it can."""
+        """Return why an answer is not valid for this request; empty if it is valid."""
         names = self._names
         if find(headers, names.attempt_id) != outgoing.attempt_id:
             return "answer of another request"
@@ -347,7 +355,7 @@
         return ""
 
     def _judge(self, response: h11.Response, headers: Headers, body: bytes) -> Outcome:
-        """Tell an answer from a request that was turned away."""
+        """Classify a complete answer: a rejection that did not run, or an answer to the request."""
         status = response.status_code
         if status == 421:
             return Rejected(status, True)
@@ -357,7 +365,7 @@
 
 
 def get_answer_head(outcome: Outcome) -> tuple[int, Headers]:
-    """Return status and header fields of the target's own answer; none where there was none."""
+    """Return status and headers of the target's answer; 0 and no headers if there was none."""
     match outcome:
         case WholeAnswer(answer) | PartialAnswer(answer):
             return answer.status, answer.headers
@@ -367,15 +375,16 @@
 
 
 def _end_if_failed(sender: asyncio.Task[None], connection: HttpConnection) -> None:
-    """Close a connection whose request could not be sent whole."""
+    """Close the connection if its request could not be sent completely."""
     if _find_sending_failure(sender) is not None:
         connection.close()
 
 
 def _find_sending_failure(sender: asyncio.Task[None]) -> BaseException | None:
-    """Find why a request could not be sent whole; None where the connection is the trouble.
+    """Return why sending failed on this side; None if it did not, or if the connection broke.
 
-    A target that stops reading may still answer; a caller whose body breaks off ends it all.
+    After a broken connection the target's answer may still arrive; an incomplete body of the
+    caller aborts the exchange.
     """
     if not sender.done() or sender.cancelled():
         return None
@@ -384,5 +393,5 @@
 
 
 def _has_body(head: Head) -> bool:
-    """Check whether the caller announced a body, be it an empty one."""
+    """Check whether the caller announced a body, even an empty one."""
     return bool(find(head.headers, b"content-length") or find(head.headers, b"transfer-encoding"))
--- a/halldoor/gateway/feedback.py
+++ b/halldoor/gateway/feedback.py
@@ -1,4 +1,4 @@
-"""Learn from the results of attempts: which targets fail, are slow, or are gone."""
+"""Update the records of targets by the results of attempts: failures, latencies and loads."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
 StatementReceiver = Callable[[Target, TargetStatement, float], None]
 
 SERVER_ERROR = 500
-"""Lowest status with which a target says that it failed."""
+"""Lowest status that counts as a failure of the target."""
 GATEWAY_TIMEOUT = 504
-"""Status with which a target says that the deadline passed."""
+"""Status with which a target reports that the deadline passed."""
 
 
 class Sending(NamedTuple):
-    """What one attempt sent, and where.
+    """One attempt: the chosen target and what was sent to it.
 
     Attributes
     ----------
     kind : str
-        Kind of request, for which targets work alike.
+        Kind of request; requests of one kind have similar latencies on all targets.
     key : str
-        Its affinity key; empty where it has none.
+        Affinity key of the request; empty if it has none.
     """
 
     choice: Choice
@@ -57,12 +57,12 @@
 
 
 class TargetFeedback:
-    """Feed the outcome of each attempt to what is known of targets.
+    """Receiver of attempt outcomes that updates the models of the targets.
 
     Parameters
     ----------
     catalog, chooser, outliers, loads, latency
-        What is known of targets.
+        Models to update: target records, selection, ejections, load reports and latencies.
     pool : TargetPool
         Connections to targets.
     names : HeaderNames
@@ -71,11 +71,11 @@
     Attributes
     ----------
     on_observation : callable or None
-        Called with each sound answer, for other entries to learn from.
+        Called with the observation of each successful answer, to send it to other entries.
     on_statement : list of callable
-        Called with the target, what it says of itself and the time, for each answer to a request.
+        Called with target, `TargetStatement` and time for each answer to a request.
     on_any_statement : list of callable
-        The same, for health answers too, in which a target may leave out what concerns requests.
+        The same, also for health-check answers, which may lack the fields about requests.
     """
 
     def __init__(
@@ -106,12 +106,12 @@
     def read_statement(
         self, target: Target, status: int, headers: Headers, now: float
     ) -> TargetStatement:
-        """Read what a target says of itself in its answer, and notify those that act on it.
+        """Parse the target's statement (limit, drain notice, retry time) and notify receivers.
 
         Parameters
         ----------
         status, headers : int, list
-            Of its answer; no fields where there was none, which says nothing.
+            Status and headers of its answer; an empty list if there was none.
         """
         if not headers:
             return TargetStatement()
@@ -123,7 +123,7 @@
     def read_health_statement(
         self, target: Target, status: int, headers: Headers, now: float
     ) -> None:
-        """Read what a target says of itself in a health answer."""
+        """Parse the target's statement in a health-check answer and notify receivers."""
         statement = TargetStatement.from_answer(status, headers, self._statement_fields)
         for apply_statement in self.on_any_statement:
             apply_statement(target, statement, now)
@@ -137,7 +137,7 @@
         *,
         took_s: float,
     ) -> tuple[AttemptResult, str]:
-        """Update the models by one attempt; return how it ended, and a detail for the log."""
+        """Update the models by one attempt; return its result and a detail for the log."""
         target = sent.choice.target
         name = target.name
         if connecting.took_s and not connecting.is_reused:
@@ -178,7 +178,7 @@
                 return AttemptResult.BODY_FAILED, detail
 
     def _add_success(self, sent: Sending, now: float, *, took_s: float, connect_s: float) -> None:
-        """Update the models by the time of a sound answer."""
+        """Update latency and outlier models by the duration of a successful answer."""
         target = sent.choice.target
         self._latency.add_answer(
             sent.kind,
@@ -192,7 +192,7 @@
             self._log.event("targets", "Ejected a slow target.", target=target.name)
 
     def _tell(self, sent: Sending, answer: Answer, *, took_s: float) -> None:
-        """Notify other entries of a sound answer."""
+        """Send the observation of a successful answer to other entries."""
         if self.on_observation is None:
             return
         report = LoadReport.from_text(find(answer.headers, self._names.load))
@@ -210,7 +210,7 @@
         )
 
     def add_observation(self, seen: Observation, now: float) -> None:
-        """Update the models by an answer that another entry of the hall had."""
+        """Update the models by an answer that another entry of the hall received."""
         target = self._catalog.find_target(seen.target)
         if target is None:
             return
@@ -230,12 +230,20 @@
     def add_failure(
         self, name: str, now: float, detail: str, *, is_dead: bool = False, is_slow: bool = False
     ) -> None:
-        """Count a failure of a target."""
+        """Count a failure of a target, and log it if the target is ejected.
+
+        Parameters
+        ----------
+        is_dead : bool, optional
+            Whether no connection could be opened.
+        is_slow : bool, optional
+            Whether the target was too slow instead of failing.
+        """
         if self._outliers.add_failure(name, now, is_dead=is_dead, is_slow=is_slow):
             self._log.event("targets", "Ejected a failing target.", target=name, cause=detail)
 
     def forget_target(self, name: str) -> None:
-        """Drop the connections to a target that is gone, and what was learnt of it."""
+        """Close the connections to a removed target and delete its data from all models."""
         self._pool.forget(name)
         self._outliers.forget(name)
         self._loads.forget(name)
@@ -243,7 +251,7 @@
         self._chooser.forget(name)
 
     def _add_load(self, target: Target, outcome: WholeAnswer | PartialAnswer, now: float) -> None:
-        """Apply the load that a target reported with its answer."""
+        """Apply the load report in a target's answer."""
         if not self._chooser.settings.uses_reports:
             return
         report = LoadReport.from_text(find(outcome.answer.headers, self._names.load))
@@ -252,7 +260,9 @@
             self._loads.add(target.name, report, now, own=own, service=target.record.service)
 
     def _drop(self, name: str) -> None:
-        """Forget a target whose address now belongs to another."""
+        """Remove a target whose address is now used by another incarnation."""
         self._catalog.drop_target(name)
         self.forget_target(name)
-        self._log.event("targets", "Dropped: its address answers for another.", target=name)
+        self._log.event(
+            "targets", "Removed: another incarnation listens at its address.", target=name
+        )
--- a/halldoor/gateway/quarantine.py
+++ b/halldoor/gateway/quarantine.py
@@ -1,4 +1,7 @@
-"""Keep requests under which targets end from being sent on, together with the other entries."""
+"""Block requests that crash targets, sharing the evidence with the other entries and the store.
+
+Without it a request that crashes each target would be retried until no target is left.
+"""
 
 from __future__ import annotations
 
@@ -32,28 +35,29 @@
 from halldoor.gateway.store import LeaseGoneError, MetadataStore, StoreError
 
 LEASE_S = 600.0
-"""Lifetime of a record, in seconds: the longest that the store keeps one without renewal."""
+"""Lifetime of a stored record, in seconds: the longest that the store keeps one without renewal."""
 LEASE_USE_S = 60.0
-"""Time for which records go under one lease, in seconds; a lease is a call of its own."""
+"""Time for which new records share one lease, in seconds, since creating one costs a call."""
 RETRY_S = 0.5
 """Pause after a failed call to the store, in seconds."""
 RECORD_PAUSE_S = 0.1
-"""Pause between two records, in seconds, so that a hall's end does not fill the store's rate."""
+"""Pause between two writes, in seconds, so that the failure of a hall doesn't use up the store's
+request rate."""
 
 
 class RequestQuarantine:
-    """The task that keeps the evidence, and tells and records it.
+    """Task that collects evidence on crashes, sends it to other entries and stores it.
 
     Parameters
     ----------
     own : MemberRecord
         This entry.
     catalog : Catalog
-        Who else is there.
+        Provides the other entries.
     port : DatagramPort
-        Messages of other entries.
+        Sends and receives messages between entries.
     store : MetadataStore
-        Keeps what all entries must know after all have started again.
+        Keeps the evidence when all entries restart.
     """
 
     def __init__(
@@ -85,20 +89,18 @@
         port.receive(MessageKind.EVIDENCE_FOR_ALL, Evidence, self._take_told_to_all)
 
     def use(self, settings: QuarantineSettings) -> None:
-        """Use other bounds from now on; what was counted stays counted."""
+        """Apply changed settings and keep the evidence."""
         self._core.settings = settings
 
     def _find_collectors(self, digest: str) -> list[str]:
-        """Name the entries that count for a request."""
+        """Return the names of the entries that collect the evidence on a request."""
         return choose_collectors(digest, self._own.hall, self._catalog.members.values())
 
-    # What callers' requests ask
-
     async def admit(self, request: Identity) -> Ending | None:
-        """Decide whether a request may be sent; give its refusal where it may not.
+        """Return the refusal of a blocked request; None if the request may be sent.
 
-        A blocked one may run once more after a while, at the one entry that claims that run in the
-        store: what ended its targets may have been mended.
+        A blocked request gets a trial run from time to time, at the one entry that claims it in
+        the store, since the fault that crashed the targets may have been fixed.
         """
         block = self._core.find_block(request, _now())
         if block is None:
@@ -106,36 +108,41 @@
         if block.trial is not None and await self._claim_trial(request.digest, block.trial):
             return None
         self._count("refused")
-        # It is known not to be served: its caller is told when it may be, which is no time soon.
+        # The caller gets the time of the next trial, since retries before it are refused.
         return Ending(
             503, f"{block.ends} targets ended under it", retry_after_s=block.retry_after_s
         )
 
     def is_blocked(self, request: Identity) -> bool:
-        """Check whether a request must not be sent once more."""
+        """Check whether a request is blocked, so that it must not be retried."""
         return self._core.find_block(request, _now()) is not None
 
     async def _claim_trial(self, digest: str, trial: int) -> bool:
-        """Claim a run of a blocked request; False where another entry has it, or none may."""
-        # Taken whatever the store says: a claim whose answer is lost may hold.
+        """Claim a trial run in the store; return False if another entry has it or on failure."""
+        # Recorded whatever the store answers: a claim whose answer was lost may be valid.
         self._core.note_trial(digest, trial)
         try:
             lease = await self._get_lease()
             is_own = await self._store.claim(name_trial(digest, trial), lease=lease)
         except StoreError as exc:
             self._metrics.add_store_call("claim", "failed")
-            self._log.event("quarantine", "Can't claim a trial.", digest=digest, cause=exc.message)
+            self._log.event(
+                "quarantine",
+                "The store call to claim a trial failed.",
+                digest=digest,
+                cause=exc.message,
+            )
             return False
         self._metrics.add_store_call("claim", "ok" if is_own else "taken")
         if is_own:
             self._count("trial")
-            self._log.event("quarantine", "Tries a blocked request.", digest=digest, trial=trial)
+            self._log.event(
+                "quarantine", "Sends a blocked request as a trial.", digest=digest, trial=trial
+            )
         return is_own
 
-    # What becomes of them
-
     def add_outcome(self, request: Identity, target: Target, outcome: Outcome) -> None:
-        """Learn from one attempt whether its target ended under the request."""
+        """Record whether one attempt crashed its target, was answered or stayed unanswered."""
         match outcome:
             case WholeAnswer(answer) if answer.status < SERVER_ERROR:
                 self.note_answer(request)
@@ -144,72 +151,73 @@
             case TimedOut():
                 self.note_unanswered(request, target)
             case ConnectFailed(is_refused=True):
-                # A full target lets connections hang, or resets them; only a dead one refuses.
+                # A full target leaves connections hanging or resets them; only a dead one refuses.
                 self.note_gone(target.name)
             case _:
                 return
 
     def note_answer(self, request: Identity) -> None:
-        """Record that a target answered a request soundly."""
-        # Most answers change nothing, and must not cost a look at every request under suspicion.
+        """Record that a target answered a request successfully."""
+        # Most answers change nothing and must not cost a scan of all suspected requests.
         if self._core.note_answer(request.digest, _now()):
             self._plan()
 
     def note_end(self, request: Identity, target: Target) -> None:
-        """Record that a target ended under a request."""
+        """Record that a target crashed while it ran a request."""
         if not self._core.note_end(request, _name_start(target), _now()):
             return
         self._count("target ended")
-        self._log.event("quarantine", "A target ended.", target=target.name, **request._asdict())
+        self._log.event(
+            "quarantine",
+            "A target crashed while running a request.",
+            target=target.name,
+            **request._asdict(),
+        )
         self._plan()
 
     def note_unanswered(self, request: Identity, target: Target) -> None:
-        """Record that a caller left, or the time ran out, while a target had the request."""
+        """Record that the caller disconnected or time ran out while a target had the request."""
         self._unanswered.add(request, target, _now())
 
     def note_gone(self, incarnation: str) -> None:
-        """Record that a target is gone: it may have ended under what it left unanswered."""
+        """Record that a target is gone: its unanswered requests may have crashed it."""
         for request, target, _ in self._unanswered.take(incarnation, _now()):
             self.note_end(request, target)
 
-    # What others know
-
     def _take_report(self, evidence: Evidence, sender: Address) -> None:
-        """Take what an entry tells collectors."""
+        """Apply evidence that an entry sent to this entry as a collector."""
         self._core.take(evidence, _now())
         self._plan()
 
     def _take_told_to_all(self, evidence: Evidence, sender: Address) -> None:
-        """Take what a collector tells everybody."""
+        """Apply evidence that a collector broadcast to all entries."""
         self._core.take(evidence, _now(), is_for_all=True)
         self._plan()
 
     def take_record(self, record: EvidenceRecord) -> None:
-        """Take what the store holds."""
+        """Apply evidence read from the store."""
         self._core.take_record(from_record(record, _read_clock_ms()), _now())
         self._plan()
 
     def lose_record(self, digest: str) -> None:
-        """Record that the store holds it no longer."""
+        """Record that the store no longer holds the evidence on a request."""
         self._core.lose_record(digest, _now())
         self._plan()
 
     def note_members(self) -> None:
-        """Follow the entries that are there: others may count now."""
+        """Recompute the collectors of each request after the set of entries changed."""
         self._core.recheck_collectors(_now())
         self._plan()
 
-    # Telling others
-
     def _plan(self) -> None:
-        """Send what is to be sent at once, and let the task see to the rest."""
+        """Send the messages that are due now, and wake the task for later ones."""
         for message in self._core.take_messages(_now()):
             self._send(message)
         if self._core.find_due() is not None:
             self._wake.set()
 
     async def run(self) -> None:
-        """Tell again and record what is due; wait while nothing is."""
+        """Repeat messages and store evidence when they are due, until cancelled."""
         while True:
             due_at = self._core.find_due()
             if due_at is None or due_at > _now():
@@ -222,16 +230,16 @@
                 await asyncio.sleep(RECORD_PAUSE_S)
 
     async def _wait_until(self, due_at: float | None) -> None:
-        """Wait until something is due, or may be due earlier."""
+        """Wait until the due time, or until `_send_due_messages` may have set an earlier one."""
         self._wake.clear()
         try:
             async with asyncio.timeout_at(due_at):
                 await self._wake.wait()
         except TimeoutError:
-            return  # It is due now.
+            return  # The due time has come.
 
     def _send(self, message: Message) -> None:
-        """Send evidence to other entries."""
+        """Send evidence to the entries that the message is addressed to."""
         members = self._catalog.members
         if isinstance(message.to, Audience):
             kind = MessageKind.EVIDENCE_FOR_ALL
@@ -244,7 +252,7 @@
         self._port.send(kind, message.evidence, *(member.relay for member in others))
 
     async def _record(self, evidence: Evidence) -> None:
-        """Record evidence, so that entries that start later know."""
+        """Write evidence to the store, for entries that start later; retry later on failure."""
         item = encode_evidence(to_record(evidence, _read_clock_ms()))
         try:
             lease = await self._get_lease()
@@ -254,7 +262,10 @@
                 self._lease = ""
             self._metrics.add_store_call("record", "failed")
             self._log.event(
-                "quarantine", "Can't record.", digest=evidence.digest, cause=exc.message
+                "quarantine",
+                "Writing evidence to the store failed.",
+                digest=evidence.digest,
+                cause=exc.message,
             )
             self._core.retry_record(evidence.digest, _now() + RETRY_S)
             return
@@ -262,7 +273,7 @@
         self._core.note_recorded(evidence)
 
     async def _get_lease(self) -> str:
-        """Return a lease for records; a new one each minute at most."""
+        """Return a lease for records; create a new one every `LEASE_REUSE_S` at most."""
         is_of_old = self._lease_era != self._store.era
         if not self._lease or is_of_old or _now() >= self._lease_until:
             lease = await self._store.create_lease(LEASE_S)
@@ -271,24 +282,22 @@
             self._lease_era = self._store.era
         return self._lease
 
-    # Sight
-
     def get_figures(self) -> dict[str, float]:
-        """Return the figures of the moment."""
+        """Return the current numbers of suspected and blocked requests, for the metrics."""
         self._core.forget_old(_now())
         return {"suspects": self._core.count_suspects(), "blocked": self._core.count_blocked()}
 
     def _count(self, what: str) -> None:
-        """Count an event."""
+        """Count a quarantine event in the metrics."""
         self._metrics.add_quarantine(what)
 
     def _note_block_change(self, change: BlockChange) -> None:
-        """Log that a request is blocked now, or no longer is."""
+        """Log and count that a request was blocked or unblocked."""
         self._count("blocked" if change.is_blocked else "lifted")
         evidence = change.evidence
         self._log.event(
             "quarantine",
-            "Blocks a request." if change.is_blocked else "Lifts a block.",
+            "Blocked a request." if change.is_blocked else "Unblocked a request.",
             digest=evidence.digest,
             ended_ms_ago={end.target: round(end.age_s * 1000) for end in evidence.ends},
             callers=len({end.caller for end in evidence.ends}),
@@ -298,12 +307,12 @@
 
 
 def _name_start(target: Target) -> str:
-    """Name one start of a target, which may start again under its name."""
+    """Return an id of one start of a target, since a target may restart under the same name."""
     return f"{target.name}/{target.record.started_ms}"
 
 
 def _now() -> float:
-    """Return the time of the loop's clock."""
+    """Return the time of the loop's clock, in seconds."""
     return asyncio.get_running_loop().time()
 
 
--- a/halldoor/gateway/request.py
+++ b/halldoor/gateway/request.py
@@ -1,4 +1,4 @@
-"""Decide and carry out what happens to one caller's request."""
+"""Admit a caller's request, send it to targets, retry it and answer the caller."""
 
 from __future__ import annotations
 
@@ -52,28 +52,28 @@
 
 
 class RequestHandler:
-    """Handle callers' requests.
+    """Handler that admits, sends, retries and answers callers' requests.
 
     Parameters
     ----------
     catalog, chooser, loads, latency
-        What is known of targets, and the choice between them.
+        Target records, target selection, load reports and latency estimates.
     feedback : TargetFeedback
-        Learns from the results of attempts.
+        Updates loads, latencies and outlier counts by the results of attempts.
     pool : TargetPool
         Connections to targets.
     names : HeaderNames
         Header names of callers and targets.
     retries : RetryGate
-        Decides about another attempt.
+        Decides whether a failed request may be retried.
     access : CallerAccess
-        Decides which requests are let in.
+        Authorizes requests against routes, teams and quotas.
     splitter : Splitter
-        Shares requests between services.
-    flows : FlowWatch
-        Counts where requests run.
+        Splits a route's requests between its services.
+    flows : RegionFlowCounter
+        Counts requests by the region in which they run.
     quarantine : RequestQuarantine
-        Knows the requests under which targets end.
+        Blocks requests that crash targets.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self.running = 0
 
     def read_limits(self) -> CallerLimits:
-        """Return the limits on callers that are in force."""
+        """Return the limits on callers in the current configuration, or the defaults."""
         routing = self._catalog.routing
         return routing.limits if routing is not None else CallerLimits()
 
@@ -122,15 +122,17 @@
         return self._chooser.in_flight[target]
 
     async def handle(self, caller: CallerConnection, head: Head) -> None:
-        """Answer one request."""
+        """Process one request; answer 502 if the gateway itself fails."""
         self.running += 1
         try:
             await self._route(caller, head)
         except h11.RemoteProtocolError:
-            raise  # The caller's own fault; its connection answers it.
+            raise  # The caller violated HTTP; its connection sends the error.
         except Exception as exc:
             attempt_id = find(head.headers, self._names.attempt_id).decode("latin-1")
-            self._log.event("request", "Failed inside.", id=attempt_id, cause=repr(exc))
+            self._log.event(
+                "request", "Request failed with an internal error.", id=attempt_id, cause=repr(exc)
+            )
             if caller.has_answered:
                 caller.abort()
             else:
@@ -139,7 +141,7 @@
             self.running -= 1
 
     async def _route(self, caller: CallerConnection, head: Head) -> None:
-        """Let a request in, and find its service and time limit."""
+        """Admit a request, choose its service and deadline, send it and finish it."""
         attempt_id = find(head.headers, self._names.attempt_id).decode("latin-1")
         entrance = self._access.enter(head, head.received_at)
         if isinstance(entrance, Refusal):
@@ -168,7 +170,7 @@
     async def _carry(
         self, caller: CallerConnection, state: RequestState, outgoing: OutgoingRequest
     ) -> Ending:
-        """Send the request to targets until there is an answer or a reason to give up."""
+        """Send the request to targets in turn until one answers or a retry is forbidden."""
         loop = asyncio.get_running_loop()
         self._retries.add_request(state.service, loop.time())
         while True:
@@ -201,7 +203,7 @@
     def _find_obstacle(
         self, state: RequestState, outgoing: OutgoingRequest
     ) -> RetryObstacle | None:
-        """Find what forbids to send the request once more."""
+        """Return what forbids another attempt; None if nothing does."""
         if self._quarantine.is_blocked(state.identity):
             return RetryObstacle.QUARANTINED
         return self._retries.find_obstacle(
@@ -214,7 +216,7 @@
     async def _attempt(
         self, state: RequestState, outgoing: OutgoingRequest, choice: Choice
     ) -> Outcome:
-        """Send the request to one target and take note of the result."""
+        """Send the request to one target and record the result in state, models and metrics."""
         loop = asyncio.get_running_loop()
         target, name = choice.target, choice.target.name
         started = loop.time()
@@ -225,7 +227,11 @@
         except asyncio.CancelledError:
             self._quarantine.note_unanswered(state.identity, target)
             self._log.event(
-                "request", "Caller left.", id=state.attempt_id, target=name, sent=state.sent_count
+                "request",
+                "The caller disconnected.",
+                id=state.attempt_id,
+                target=name,
+                sent=state.sent_count,
             )
             raise
         self._quarantine.add_outcome(state.identity, target, outcome)
@@ -260,11 +266,11 @@
         return outcome
 
     def _view(self, choice: Choice, key: str, now: float) -> TargetView:
-        """Return what is believed of a target, for the log."""
+        """Return this entry's current data on a target, for the log."""
         target = choice.target
         age_s = self._loads.age(target.name, now)
         return TargetView(
-            # The request itself is counted already.
+            # The count already includes this request.
             in_flight=self._chooser.in_flight[target.name] - 1,
             others=round(self._loads.estimate_others(target.name, now), 1),
             load=round(self._loads.get_load(target.name), 2),
@@ -281,12 +287,10 @@
             expected_wait_ms=round(choice.estimate.wait_s * 1000),
         )
 
-    # Answers
-
     def _deliver(
         self, caller: CallerConnection, state: RequestState, answer: Answer, target: Target
     ) -> Ending:
-        """Pass a target's whole answer on."""
+        """Forward a target's complete answer to the caller."""
         headers = drop_hop_by_hop(answer.headers)
         if state.head.method == b"HEAD":
             caller.send_head(answer.status, headers, answer.reason)
@@ -303,7 +307,7 @@
         partial: PartialAnswer,
         target: Target,
     ) -> Ending:
-        """Pass a long answer on as it comes; break off where it breaks off or is late."""
+        """Forward a long answer piece by piece; abort it if the target fails or time runs out."""
         answer, connection = partial
         headers = drop_hop_by_hop(answer.headers)
         if not find(headers, b"content-length"):
@@ -323,13 +327,13 @@
             caller.abort()
             return Ending(answer.status, f"broke off: {reason}", target.name)
         finally:
-            # It closes the connection where the exchange did not end cleanly.
+            # Closes the connection if the exchange did not complete.
             self._pool.release(target.name, connection)
         self._quarantine.note_answer(state.identity)
         return Ending(answer.status, "answered in pieces", target.name)
 
     def _finish(self, caller: CallerConnection, state: RequestState, ending: Ending) -> None:
-        """Send an answer of the gateway's own unless a target's went out; log and count."""
+        """Send the gateway's own answer unless a target's was forwarded; log and count."""
         if not ending.target:
             spread_time = spread_later if ending.is_asked else spread
             after_s = spread_time(ending.retry_after_s, self._random)
@@ -358,7 +362,7 @@
         )
 
     def _refuse_early(self, caller: CallerConnection, attempt_id: str, refusal: Refusal) -> None:
-        """Refuse a request that is not let in."""
+        """Answer, log and count a request that was not admitted."""
         caller.send(self._access.build_answer(refusal))
         self._metrics.add_request("", str(refusal.status), 0.0)
         fields: dict[str, Any] = {}
@@ -377,13 +381,13 @@
         )
 
     def _get_store_age_ms(self) -> int:
-        """Return the age of the last contact with the store, in milliseconds."""
+        """Return the time since the last contact with the store, in milliseconds."""
         now = asyncio.get_running_loop().time()
         return round((now - self._catalog.fresh_at) * 1000)
 
 
 def _is_worth_retry(state: RequestState, outcome: WholeAnswer) -> bool:
-    """Check whether a target's failure may be answered better by another target."""
+    """Check whether another target may succeed after this target's error answer."""
     return (
         state.route.kind is RequestKind.REPEATABLE
         and outcome.answer.status >= SERVER_ERROR
--- a/halldoor/gateway/retries.py
+++ b/halldoor/gateway/retries.py
@@ -1,4 +1,4 @@
-"""Whether a request is tried at another target: its own facts, and this entry's budget."""
+"""Retry decisions: the request's own conditions and this entry's share of the retry budget."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from halldoor.gateway.attempt import RequestState
 
 UNREACHED_MOST_S = 0.8
-"""Time that connecting in vain may take before a request is refused, in seconds.
+"""Total time of failed connection attempts after which a request is refused, in seconds.
 
-Targets that are gone refuse within a millisecond, and the next one may run; where three connections
-hang, the way to the others is mostly broken too, and the caller needs time for another entry.
+Crashed targets refuse within a millisecond, and the next one may run; if three connections hang,
+the network to the others is mostly broken too, and the caller needs time to try another entry.
 """
 UNREACHED_LIMIT = 16
-"""Targets that may refuse a connection before a request is refused: its log line is bounded."""
+"""Failed connections after which a request is refused, so that its log line stays bounded."""
 
 
 class RetryGate:
-    """Allows another attempt, or says what forbids it.
+    """Gate that allows another attempt or names the obstacle.
 
     Parameters
     ----------
     catalog : Catalog
-        How many entries share the budget.
+        Provides the number of entries that share the budget.
     settings : RetrySettings
-        The budget of all entries together.
+        Retry budget of all entries together.
     """
 
     def __init__(self, catalog: Catalog, settings: RetrySettings) -> None:
@@ -35,26 +35,26 @@
         self._shares: dict[str, RetryShare] = {}
 
     def use(self, settings: RetrySettings) -> None:
-        """Use another budget from now on; what was counted stays counted."""
+        """Apply changed budget settings and keep the counts."""
         self._settings = settings
         for share in self._shares.values():
             share.ratio, share.slack = settings.ratio, settings.slack
 
     def add_request(self, service: str, now: float) -> None:
-        """Count a caller's request, of which the budget is a share."""
+        """Count a caller's request; the retry budget is a fraction of this count."""
         self._find_share(service).add_request(now)
 
     def find_obstacle(
         self, state: RequestState, now: float, *, can_resend: bool, expires_at: float
     ) -> RetryObstacle | None:
-        """Find what forbids to try another target; where nothing does, take from the budget.
+        """Return what forbids another attempt; if nothing does, charge the budget, return None.
 
         Parameters
         ----------
         can_resend : bool
-            The whole of the body is still here.
+            Whether the whole body is still buffered.
         expires_at : float
-            When the time for an answer ends.
+            Deadline for the answer, on the loop's clock.
         """
         obstacle = find_obstacle(
             RetryFacts(
@@ -70,7 +70,7 @@
             return obstacle
         if _has_tried_enough(state):
             return RetryObstacle.NO_ATTEMPT_LEFT
-        # An attempt that reached no target costs no target anything.
+        # An attempt that reached no target causes no load, so its retry is free.
         if not state.attempts[-1].result.was_sent:
             return None
         entries = self._catalog.count_sharers(now)
@@ -79,7 +79,7 @@
         return RetryObstacle.BUDGET
 
     def _find_share(self, service: str) -> RetryShare:
-        """Return this entry's share of a service's budget."""
+        """Return this entry's share of a service's retry budget, creating it if needed."""
         share = self._shares.get(service)
         if share is None:
             share = self._shares[service] = RetryShare(**self._settings._asdict())
@@ -87,7 +87,7 @@
 
 
 def _has_tried_enough(state: RequestState) -> bool:
-    """Check whether too many targets, or too slow ones, could not be reached."""
+    """Check whether failed connections reached their limit in number or in total time."""
     unreached = [attempt for attempt in state.attempts if not attempt.result.was_sent]
     wasted_s = sum(attempt.took_ms for attempt in unreached) / 1000
     return wasted_s >= UNREACHED_MOST_S or len(unreached) >= UNREACHED_LIMIT
