--- a/halldoor/tests/crashkit.py
+++ b/halldoor/tests/crashkit.py
@@ -1,4 +1,4 @@
-"""Several gateways on one store, and targets that end under some requests."""
+"""Test kit: several gateways on one store, and targets that crash while running some requests."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 BAD = b"/bad"
 POPULAR = b"/popular"
 WORK_S = 0.075
-"""Time for which a request runs before it is answered, or ends its target, in seconds."""
+"""Time for which a request runs before it is answered or crashes its target, in seconds."""
 AWAY_S = (1.5, 3.0)
-"""Shortest and longest time until a target that ended is back under a new name, in seconds."""
+"""Shortest and longest time until a crashed target restarts under a new name, in seconds."""
 
 
 class CrashingTarget(ScriptedTarget):
-    """A target that ends under the bad request, and at a word."""
+    """A target that crashes when it runs the path `BAD`, or when the fleet crashes it."""
 
     def __init__(self, name, fleet):
         super().__init__(name, NAMES)
@@ -45,16 +45,16 @@
 
 
 class CrashFleet:
-    """Gateways, targets and callers.
+    """Gateways on one store, crashing targets and callers.
 
     Attributes
     ----------
     sent : dict of bytes to list of float
-        When each path was sent to a target.
+        Times at which targets received each path, on the loop's clock.
     ended_at : list of float
-        When a target ended.
+        Times at which targets crashed, on the loop's clock.
     statuses : dict of bytes to list of int
-        What callers got, by path.
+        Statuses that callers received, by path.
     """
 
     def __init__(self, *, kind, seed=1, entries=6, addresses=1):
@@ -97,7 +97,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def start_entries(self):
-        """Start every entry; each knows all others before it is asked."""
+        """Start all entries and wait until each has all others in its local view."""
         for i, port in enumerate(find_ports(self.entries)):
             kit = GatewayKit.open(
                 name=f"e{i}",
@@ -115,7 +115,7 @@
             await kit.wait(lambda members=members: len(members) == self.entries)
 
     async def restart_entries(self):
-        """End every entry at once, and start them anew: none keeps anything."""
+        """Stop all entries and start them again without any state."""
         self.kits.clear()
         await self._stack.aclose()
         await self.start_entries()
@@ -130,7 +130,7 @@
         kit.write_target(target.incarnation)
 
     def end(self, target):
-        """End a target in the middle of all that it runs."""
+        """Crash a target together with all requests that it runs, and restart it later."""
         if self.targets.pop(target.incarnation, None) is None:
             return
         self.ended_at.append(self.now())
@@ -143,7 +143,7 @@
         await self.start_target()
 
     async def end_targets_under(self, path, *, every_s, for_s):
-        """End a target that is just running a request, again and again."""
+        """Repeatedly crash a target that is running a request for a path."""
         ends = self.now() + for_s
         while self.now() < ends:
             await asyncio.sleep(every_s)
@@ -155,7 +155,7 @@
                 self.end(self.random.choice(running))
 
     async def call(self, path, key=""):
-        """Ask any entry once, from any address; how it ended is kept."""
+        """Send one request to a random entry from a random address, and record its status."""
         kit = self.random.choice(self.kits)
         source = f"127.0.0.{self.random.randrange(2, 2 + self.addresses)}"
         method, body = ("POST", b"x") if self.kind != "repeatable" else ("GET", b"")
@@ -171,7 +171,7 @@
             self.statuses[path].append(reply.status)
 
     async def ask(self, path, *, per_s, for_s, key=""):
-        """Ask for a path, or for many others, again and again; without a key of any target."""
+        """Send requests at a mean rate for a path, or for 40 other paths if it is empty."""
         ends = self.now() + for_s
         while self.now() < ends:
             if path:
@@ -182,11 +182,11 @@
             await asyncio.sleep(self.random.expovariate(per_s))
 
     def count_sound(self):
-        """Return the share of sound requests that were served."""
+        """Return the fraction of requests other than `BAD` that were answered with 200."""
         statuses = [s for path, all_ in self.statuses.items() if path != BAD for s in all_]
         return statuses.count(200) / len(statuses)
 
     def count_late_sends(self, path, *, after_s):
-        """Count sendings later than a time after the third target ended."""
+        """Count how often a path was sent later than `after_s` after the third crash."""
         third_at = sorted(self.ended_at)[2]
         return sum(at > third_at + after_s for at in self.sent[path])
--- a/halldoor/tests/gatewaykit.py
+++ b/halldoor/tests/gatewaykit.py
@@ -1,4 +1,4 @@
-"""A gateway in this process, with scripted targets and raw callers."""
+"""Test kit: a gateway in this process, with scripted targets and raw HTTP callers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 NAMES = HeaderNames()
 ATTEMPT_NUMBERS = itertools.count(1)
-"""Numbers that no two requests of a process share, whichever callers send them."""
+"""Source of attempt ids that are unique among all callers of the process."""
 ROUTE = {
     "name": "r1",
     "host": "decks.example",
@@ -33,15 +33,15 @@
 
 
 def by_kind(kind):
-    """Return the changes of a route of a kind."""
+    """Return the route fields to override for a kind of request."""
     return {"kind": kind}
 
 
 class GatewayKit:
-    """What a test needs: the store, targets, the gateway, and how to call it."""
+    """A store, scripted targets and a gateway, with helpers to configure and call them."""
 
     def __init__(self, settings, store=None):
-        # A stop waits for old look-ups to run out; tests have none to wait for.
+        # Stopping waits until cached look-ups expire, which tests don't need.
         settings = {"lookup_ttl_s": 0.05} | settings
         self.store = store or MemoryStore()
         self.targets = {}
@@ -55,7 +55,7 @@
                     "ready": Address("127.0.0.1", 0),
                     "directory": Address("127.0.0.1", 0),
                     "regions": {"ams-a": "ams", "grq-a": "grq"},
-                    # Retries are tested on an entry that has been up for a while.
+                    # Retries are tested on an entry that no longer counts as newly started.
                     "timings": CatalogTimings(young_s=0.0),
                 }
                 | settings
@@ -154,7 +154,7 @@
         "lookup_ttl_s": 0.05,
         "timings": CatalogTimings(young_s=0.0),
     }
-    # On this process's own address: on 127.0.0.1 others' connections take ports that were free.
+    # Uses this process's own address: on 127.0.0.1 other processes may take ports found free.
     relays = [Address(IP, port) for port in find_ports(2)]
     async with GatewayKit.open(name="e1", relay=relays[0], teams=teams, **options) as one:
         kit = GatewayKit.open(
@@ -170,7 +170,7 @@
 
 
 class Reply:
-    """What a caller got."""
+    """Answer received by a caller."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -182,7 +182,7 @@
 
 
 class Caller:
-    """A caller on one connection."""
+    """A caller with one connection to the gateway."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -221,7 +221,7 @@
         await self.writer.drain()
 
     async def receive(self, *, limit_s=10.0):
-        """Read one answer; raises where it is broken off."""
+        """Read one answer; raise ConnectionResetError if the connection closes before its end."""
         async with asyncio.timeout(limit_s):
             head, body = None, b""
             while True:
--- a/halldoor/tests/test_crashing_request.py
+++ b/halldoor/tests/test_crashing_request.py
@@ -1,21 +1,9 @@
-"""A request that ends each target that runs it.
-
-One request of one caller came again and again, at any entry.  Each target that began to run it
-ended, so that its caller got 502, and an entry that may send a request to two targets lost two.  An
-entry judged each sending by itself: it left the target alone for a while and gave the request to
-the next one.  None of twelve entries saw more than two of the lost answers, so none could know that
-it was the request.  The targets came back cold 1.5 to 3 s later, to a service that lacked half of
-its room: for ten seconds four of five deck readings were not served in time.
-
-What settled it: the same key at nine entries within 5 s, a target lost under 13 of the 16 sendings
-that reached one, and no more than two of them at any entry.
-
-    41.28  edge-ams-b-2  502  ('i-af495a43e6', 'answer lost')
-    42.96  edge-ehv-a-2  502  ('i-af495a43e6', 'not reached'), ('i-677e2e171f', 'answer lost')
-    43.57  edge-ehv-b-1  502  ('i-52ba7c4c46', 'answer lost'), ('i-4ca8f58142', 'answer lost')
-    44.27  edge-ehv-a-2  502  ('i-7f3a0648f5', 'answer lost'), ('i-f57abdad79', 'answer lost')
-    44.56  edge-ehv-a-1  502  ('i-f57abdad79', 'not reached'), ('i-925867431b', 'answer lost')
-    45.32  edge-grq-a-1  502  ('i-0e40821af7', 'answer lost'), ('i-3edbe9164b', 'answer lost')
+"""Tests of a request that crashes each target that runs it.
+
+The same request arrived at nine of twelve entries within 5 s, each of which may retry it once:
+13 of the 16 attempts that reached a target crashed it.  No entry saw more than two crashes,
+so none could attribute them to the request.  The targets restarted cold 1.5 to 3 s later, and for
+ten seconds four of five requests of the service were not served in time.
 """
 
 from __future__ import annotations
@@ -33,9 +21,9 @@
 from halldoor.tests.gatewaykit import GatewayKit, open_pair
 
 CONTACT_S = 3.0
-"""Time in which all entries must know that a third target ended, in seconds."""
+"""Time within which all entries must know of the third crash, in seconds."""
 LATE_SENDS = 3
-"""Sendings that all entries together may make later than that."""
+"""Number of times that all entries together may send the request after that."""
 KINDS = ["repeatable", "at-most-once"]
 
 
@@ -49,17 +37,16 @@
                 )
                 assert len(fleet.ended_at) >= 3
                 assert fleet.count_late_sends(BAD, after_s=CONTACT_S) <= LATE_SENDS
-                # Three targets of twelve are away for 3 s, with what they were running.
+                # Three of twelve targets are down for up to 3 s, and their running requests fail.
                 assert fleet.count_sound() >= 0.9
 
         asyncio.run(check())
 
     def test_so_it_is_where_its_caller_has_many_addresses(self):
-        """Without teams in the configuration nothing but the address tells callers apart.
+        """Without teams only the address distinguishes callers.
 
-        The same request came at entries of all three regions, from other machines each time, so
-        that it was another one for each address: 24 and 34 targets ended under it instead of 38
-        and 37, and 12 and 14 of its sendings came too late.
+        The same request arrived from many addresses and counted as a different one for each:
+        24 and 34 targets crashed instead of 38 and 37, and 12 and 14 of its attempts were late.
         """
 
         async def check():
@@ -81,7 +68,7 @@
 
 
 class TestSoundRequest:
-    """Targets end for reasons of their own, each under a run of a much asked, sound request."""
+    """Targets crash for other reasons, each while running a frequent and harmless request."""
 
     @pytest.mark.parametrize("key", ["", "/popular"])
     def test_it_stays_served(self, key):
@@ -104,7 +91,7 @@
 
 
 async def end_three(kit, **request):
-    """Let a request end three targets: each closes the connection under it."""
+    """Send a request that crashes three targets: each closes the connection while running it."""
     kit.script_all("reset")
     assert (await kit.call(path="/bad", **request)).status == 502
     assert kit.gateway.quarantine.get_figures()["blocked"] == 1
@@ -118,7 +105,7 @@
                 sent = len(kit.received)
                 reply = await kit.call(path="/bad")
                 assert (reply.status, len(kit.received)) == (503, sent)
-                # Spread by a quarter, once; spread twice it was 20.74 s now and then.
+                # Randomized by a quarter, once; randomized twice it was 20.74 s now and then.
                 assert 0.74 * TRIALS_AFTER_S[0] < float(reply.find(b"retry-after"))
 
         asyncio.run(check())
@@ -192,7 +179,7 @@
 
 class TestFullTarget:
     def test_requests_that_full_targets_do_not_answer_are_not_blamed(self, monkeypatch):
-        """A reader who asks again and again in the middle of a rush must not be locked out."""
+        """A caller that retries during an overload must not be blocked."""
 
         async def check():
             async with GatewayKit.open(targets=4) as kit:
--- a/halldoor/tests/test_drained_while_connecting.py
+++ b/halldoor/tests/test_drained_while_connecting.py
@@ -1,4 +1,4 @@
-"""A target that is withdrawn while a connection to it comes up gets nothing over it."""
+"""Tests that a target withdrawn while a connection to it is opened receives no request over it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def delay_connections(kit):
-    """Let each new connection to a target take a time."""
+    """Delay each new connection to a target by `CONNECT_S`."""
     pool = kit.gateway.pool
     open_at_once = pool.open
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("is_evacuated", [False, True])
 def test_requests_reach_a_target_that_was_withdrawn_while_they_connected(is_evacuated):
-    """The choice is older than the connection."""
+    """The target is withdrawn after it was chosen and before the connection is open."""
 
     async def check():
         async with RateFleet.open(entries=1, targets=2) as fleet:
--- a/halldoor/tests/test_eventlog.py
+++ b/halldoor/tests/test_eventlog.py
@@ -1,4 +1,4 @@
-"""The gateway's log: what is written at which load."""
+"""Tests of the sampling of request lines in the gateway's log."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 class TestSampling:
     def test_a_quiet_entry_writes_every_request(self):
-        """One in 64 was written, however quiet the entry: 26 of 1,870 late ones had a line."""
+        """Regression: one in 64 was logged at any load, so 26 of 1,870 late ones had a line."""
         lines = write([answered()] * 10, pause_s=0.01)
         assert [line["stands_for"] for line in lines] == [1] * 10
 
--- a/halldoor/tests/test_flows.py
+++ b/halldoor/tests/test_flows.py
@@ -1,4 +1,4 @@
-"""In which regions requests run, and what is told when that moves."""
+"""Tests of the counts of requests by region, and of the log line when traffic moves."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
         assert (fields["moved"], fields["reason"], fields["version"]) == (1.0, "spilled", 1)
 
     def test_a_hall_of_changed_settings_counts_in_its_region(self):
-        """Regression: requests to a hall that the settings named later counted in no region."""
+        """Regression: requests to a hall added by changed settings counted in no region."""
         catalog = make_catalog()
         orders, metrics = make_chooser(catalog).orders, GatewayMetrics()
         log = SimpleNamespace(event=lambda *texts, **fields: None)
--- a/halldoor/tests/test_gateway.py
+++ b/halldoor/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's request path against scripted targets."""
+"""Tests of the gateway's request path against scripted targets."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
 
     @pytest.mark.parametrize("size", [20_000, 1_500_000])
     def test_a_chunked_body_past_the_limit_is_refused(self, size):
-        """Its length is known only at its end: what passes the limit is cut off there."""
+        """The length is known only at the end, so the body is refused when it exceeds the limit."""
 
         async def check():
             limit = size - 8_000
--- a/halldoor/tests/test_gateway_life.py
+++ b/halldoor/tests/test_gateway_life.py
@@ -1,4 +1,4 @@
-"""The gateway beside the request path: the store, planned stops, changed settings."""
+"""Tests of the gateway's use of the store, its start and stop, and reloaded settings."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
         asyncio.run(check())
 
     def test_an_entry_is_known_to_others_only_once_it_has_read_everything(self):
-        """Regression: callers that were sent to it before got a 503."""
+        """Regression: callers directed to the entry before that received 503."""
 
         async def check():
             class SlowStore(MemoryStore):
@@ -113,7 +113,7 @@
         asyncio.run(check())
 
     def test_a_start_reads_every_key_in_one_range(self):
-        """Also keys that mean nothing here, which are passed over."""
+        """The range includes keys without meaning for the gateway, which are ignored."""
 
         async def check():
             store = MemoryStore()
@@ -164,14 +164,14 @@
                 gateway.reload(before._replace(retries=retries, grace_s=2.0, front=moved))
                 assert gateway.settings.grace_s == 2.0
                 assert gateway.settings.front == before.front
-                await asyncio.sleep(1.1)  # The ejections of the first call end.
+                await asyncio.sleep(1.1)  # The ejections caused by the first call expire.
                 assert (await kit.call()).status == 502
                 assert len(kit.received) == 3
 
         asyncio.run(check())
 
     def test_a_file_is_taken_up_on_a_signal_and_without_one(self, tmp_path, monkeypatch):
-        """A broken file changes nothing, and the next good one is taken up."""
+        """An unreadable file changes nothing, and the next valid one is applied."""
         monkeypatch.setattr(runner, "CHECK_S", 0.02)
 
         async def check():
--- a/halldoor/tests/test_kept_connections.py
+++ b/halldoor/tests/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Requests over connections that were kept from earlier ones."""
+"""Tests of requests over connections kept from earlier exchanges."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         ("kind", "connections"), [("repeatable", 1), ("at-most-once", 1), ("upload", 3)]
     )
     def test_all_but_uploads_share_a_connection(self, kind, connections):
-        """A new one costs a round trip before the request leaves: a fifth of some aims."""
+        """A new connection costs a round trip before the request is sent: a fifth of some aims."""
 
         async def check():
             async with GatewayKit.open(targets=1, route=by_kind(kind)) as kit:
@@ -30,7 +30,7 @@
 
     @pytest.mark.parametrize("kind", ["repeatable", "at-most-once"])
     def test_an_answer_that_comes_twice_does_not_cost_the_next_request(self, kind):
-        """The second one arrives in the place of the next request's answer."""
+        """The surplus answer arrives where the next request's answer is expected."""
 
         async def check():
             async with GatewayKit.open(targets=1, route=by_kind(kind)) as kit:
@@ -46,7 +46,7 @@
                 target.script = answer_late_twice
                 replies = [await kit.call(method="POST", body=b"x") for _ in range(4)]
                 assert [(r.status, r.body) for r in replies] == [(200, b"own")] * 4
-                # A connection that was out of step is not used again.
+                # A connection that received a surplus answer is not reused.
                 assert [r.connection for r in target.received] == [1, 1, 2, 2]
 
         asyncio.run(check())
@@ -63,7 +63,7 @@
         asyncio.run(check())
 
     def test_one_silent_connection_makes_all_kept_ones_suspicious(self):
-        """What silences a connection for good, without a reset, silences others too."""
+        """A network fault that cuts one connection without a reset cuts others too."""
 
         async def check():
             async with GatewayKit.open(targets=2, route=by_kind("at-most-once")) as kit:
@@ -84,7 +84,7 @@
         asyncio.run(check())
 
     def test_a_kept_connection_without_an_answer_makes_its_targets_others_suspicious(self):
-        """A peer may acknowledge bytes and never answer again; new connections work."""
+        """A peer may acknowledge bytes on old connections and never answer; new ones work."""
 
         async def check():
             async with GatewayKit.open(targets=1, route=by_kind("at-most-once")) as kit:
@@ -100,7 +100,7 @@
         asyncio.run(check())
 
     def test_one_lost_peer_costs_one_order(self):
-        """Regression: each of a crashed target's kept connections cost an order of its own."""
+        """Regression: each kept connection to a crashed target failed one more request."""
 
         async def check():
             async with GatewayKit.open(targets=1, route=by_kind("at-most-once")) as kit:
--- a/halldoor/tests/test_named_limit.py
+++ b/halldoor/tests/test_named_limit.py
@@ -1,4 +1,4 @@
-"""A target names the requests a second that it takes, and all entries together keep to that."""
+"""Tests that all entries together keep to a rate limit that a target sets in its answers."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 WINDOW_S = 4.0
 SPREAD_S = 3.0
-"""Time for all entries to learn of a limit, in seconds."""
+"""Time within which all entries receive a limit, in seconds."""
 
 
 def find_allowed(limit_per_s):
-    """Return the requests that a target with a limit may get in any window."""
+    """Return the number of requests allowed in any window to a target with a limit."""
     return 1.5 * limit_per_s * WINDOW_S + 5.0
 
 
 def name_limit(target, text):
-    """Let a target name a limit in each of its answers."""
+    """Make a target send a limit in each of its answers."""
     target.extra = [(b"halldoor-limit", text)]
 
 
 @pytest.mark.parametrize(("entries", "limit_per_s"), [(6, 6.5), (10, 6.5), (10, 0.3), (10, 0.0)])
 @pytest.mark.parametrize("is_isolated", [False, True])
 def test_entries_together_exceed_a_named_limit(entries, limit_per_s, is_isolated):
-    """Each entry has a part of the limit, also while they don't reach the store or each other."""
+    """Each entry uses its share of the limit, even if it reaches neither store nor entries."""
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
@@ -47,7 +47,7 @@
 
 class TestEnd:
     def test_traffic_returns_to_a_target_that_no_longer_names_a_limit(self):
-        """Also from entries that sent it nothing, and by and by."""
+        """Traffic returns gradually, also from entries that sent the target nothing."""
 
         async def check():
             async with RateFleet.open(entries=6, targets=3) as fleet:
--- a/halldoor/tests/test_not_run.py
+++ b/halldoor/tests/test_not_run.py
@@ -1,4 +1,4 @@
-"""Requests that no target ran: shed, of another start, or not reached."""
+"""Tests of requests that no target ran: shed, sent to another incarnation, or not connected."""
 
 from __future__ import annotations
 
@@ -47,12 +47,9 @@
         asyncio.run(check())
 
     def test_the_last_target_that_runs_is_found(self):
-        """Targets of a much asked key ended one after the other; who had not met that was refused.
+        """Regression: a request was refused after three refused connections within 5 ms.
 
-        Connections to its first three targets were refused within 5 ms, and the request was given
-        up with 0.99 s left and nine targets running: 1 to 6 of some 60 requests in 8 s.
-
-            503  t3: not reached, ConnectionRefusedError; no attempt left  took_ms 5
+        It had 0.99 s left and nine targets were running: 1 to 6 of some 60 requests in 8 s failed.
         """
 
         async def check():
--- a/halldoor/tests/test_policy_settings.py
+++ b/halldoor/tests/test_policy_settings.py
@@ -1,4 +1,4 @@
-"""A policy file changes settings by section; what it says wrong is named."""
+"""Tests of policy files, which change settings by section; errors name the wrong setting."""
 
 import pytest
 
--- a/halldoor/tests/test_quick_rejections.py
+++ b/halldoor/tests/test_quick_rejections.py
@@ -1,4 +1,4 @@
-"""Targets that turn requests away at once don't draw more of them than others."""
+"""Tests that targets that reject requests at once don't attract more requests than others."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from halldoor.tests.ratekit import RateFleet
 
 BACK_SHARE = 0.4
-"""Part of others' requests that a target gets which no longer turns them away."""
+"""Least rate of a target that stopped rejecting, as a fraction of the other targets' rate."""
 
 
 def count_since(target, since):
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("fields", [[], [(b"Retry-After", b"soon")]])
 def test_targets_that_reject_at_once_cost_requests_that_others_have_room_for(fields):
-    """They don't say for how long, or not in a way that can be read."""
+    """The rejections have no ``Retry-After``, or an unreadable one."""
 
     async def check():
         async with RateFleet.open(entries=6, targets=8) as fleet:
@@ -34,7 +34,7 @@
             await asking
             assert fleet.find_served(range(6), since=since) > 0.98
             late = [count_since(target, back_at + 1.0) for target in fleet.targets]
-            # A busy machine asks for less: what counts is their part of what others get.
+            # Callers send less on a busy host, so the rate is compared with other targets'.
             others = sum(late[2:]) / len(late[2:])
             assert others > 0 and min(late[:2]) > BACK_SHARE * others
 
--- a/halldoor/tests/test_requested_rest.py
+++ b/halldoor/tests/test_requested_rest.py
@@ -1,4 +1,4 @@
-"""A target that turns an entry away and asks for a rest gets nothing from it for that time."""
+"""Tests of rests: pauses in which an entry sends nothing to a target that requested them."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 REST_S = 3.0
 GRACE_S = 0.5
-"""Time in which requests that were under way may still arrive, in seconds."""
+"""Time within which requests already sent may still arrive, in seconds."""
 MOST_IN_REST = 2
-"""Requests of one entry that may reach a target within a rest."""
+"""Greatest number of requests of one entry that may reach a target within a rest."""
 
 
 def ask_for_rest(targets, text):
-    """Let targets turn every request away, and ask for a rest."""
+    """Make targets reject every request with a ``Retry-After`` value."""
     for target in targets:
         target.rejection = [(b"Retry-After", text)]
 
 
 def serve(targets):
-    """Let targets serve again."""
+    """Make targets answer requests normally again."""
     for target in targets:
         target.rejection = None
 
 
 def count_most_in_rest(target, rest_s=REST_S):
-    """Return the most requests of one entry within a rest that it was asked for."""
+    """Return the greatest number of requests of one entry within a rest requested from it."""
     return max(
         (
             sum(entry == e and at + GRACE_S < t < at + rest_s for t, e in target.arrivals)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("entries", [6, 10])
 def test_requests_reach_a_target_within_the_rest_that_it_asked_for(entries):
-    """Others have room, so that callers need not notice."""
+    """The other targets have free slots, so nearly all requests are served."""
 
     async def check():
         async with RateFleet.open(entries=entries, targets=8) as fleet:
@@ -62,7 +62,7 @@
 
 
 def test_callers_are_told_to_come_back_while_all_targets_rest():
-    """Before the first of them wants requests again, nothing is sent."""
+    """No ``Retry-After`` ends before the first target accepts requests again."""
 
     async def check():
         async with RateFleet.open(entries=6, targets=8) as fleet:
@@ -124,12 +124,12 @@
 
 
 class TestTable:
-    """One target's rest, in the time of the test."""
+    """Tests of `RestTable` with one target and explicit times."""
 
     START = ("t1", 0)
 
     def count_sent(self, table, times, *, is_sound, rest_s=0.0):
-        """Ask at some times; each request is answered before the next."""
+        """Return the times at which a request was allowed; each is answered before the next."""
         sent = []
         for now in times:
             if table.may_send(self.START, now, in_flight=0):
--- a/halldoor/tests/test_suspension.py
+++ b/halldoor/tests/test_suspension.py
@@ -1,10 +1,8 @@
-"""A machine that is suspended for a while, and goes on as if nothing had been.
+"""Tests of an entry whose host was suspended for a while.
 
-A suspension is counted by the clock of the time since boot, but not by the steady clock, which the
-gateway's event loop went by.  So nothing that an entry believed had become older: it said at once
-that it was ready and named to callers the entries of before, sent requests whose callers had given
-up, and sent them over connections whose peers had long closed them.  The check that tells of a
-process that stood still used the steady clock too, and saw nothing.
+The gateway used the monotonic clock, which doesn't count suspensions, so cached state didn't age.
+After resuming, the entry reported ready with outdated look-ups, sent requests whose callers had
+given up, and used connections that peers had closed; its check for suspensions noticed nothing.
 """
 
 from __future__ import annotations
@@ -30,15 +28,15 @@
 
 SUSPENSIONS_S = [5.0, 60.0]
 PATIENCE_S = 600.0
-"""How long a caller waits for an answer by the clock that counts suspensions, in seconds."""
+"""Time that a caller waits for an answer, suspensions included, in seconds."""
 TRAVEL_S = 0.1
-"""Time from a caller to its entry's reading of the request, on a busy machine, in seconds."""
+"""Time until an entry has read a caller's request, on a busy host, in seconds."""
 CLOSED = 0
-"""Outcome of a request whose connection was closed before it was read."""
+"""Status that stands for a connection closed before its request was read."""
 
 
 class Suspension:
-    """The clock of the time since boot, which runs on while the machine is suspended."""
+    """The gateway's clock with added seconds of simulated suspension."""
 
     def __init__(self, monkeypatch):
         self.slept_s = 0.0
@@ -101,7 +99,7 @@
         clock.run(check())
 
     def test_what_lay_unread_is_not_sent(self, suspension):
-        """Its caller may have given up while it lay there; the entry can't tell."""
+        """The caller may have given up during the suspension, which the entry can't detect."""
 
         async def check():
             async with GatewayKit.open() as kit:
@@ -166,7 +164,7 @@
 
 
 class TestAnyMoment:
-    """Requests under way, and the machine is suspended at moments drawn at random."""
+    """Requests are running while the host is suspended at random moments."""
 
     @pytest.mark.parametrize("seed", range(8))
     def test_what_is_promised_holds(self, suspension, monkeypatch, seed):
@@ -180,7 +178,7 @@
         async def note_and_handle(handler, caller, head):
             attempt_id = find(head.headers, NAMES.attempt_id).decode()
             if asked_in[attempt_id] != suspension.slept_s:
-                # It lay unread through a suspension: nobody can tell for how long.
+                # Unread during a suspension, of which the entry can't tell the length.
                 expires_at[attempt_id] = head.received_at + 0.8
             await handle(handler, caller, head)
 
@@ -213,7 +211,7 @@
                         )
                         reply = await caller.receive(limit_s=PATIENCE_S)
                     except ConnectionError:
-                        # A connection that rested through a suspension may be closed unread.
+                        # A connection that was idle in a suspension may close unread.
                         assert asked_in[attempt_id] != suspension.slept_s
                         return attempt_id, CLOSED
                     finally:
@@ -242,7 +240,7 @@
 
 
 def relies(entry):
-    """Check whether an entry says that it is ready, and answers look-ups."""
+    """Check whether an entry reports ready and answers look-ups from its cached state."""
     is_confirming = entry.sync.is_confirming or entry.maintenance.has_stood_still()
     return entry.catalog.routing is not None and not is_confirming
 
@@ -256,7 +254,10 @@
 )
 @example(suspensions=[(0.0, 2.0, False), (0.0, 30.0, False)], is_down=False)
 def test_who_wakes_relies_on_nothing_that_changed_meanwhile(suspensions, is_down):
-    """In virtual time: entries of two halls, of which one reads for others, sleep at any moment."""
+    """Entries of two halls, one of which reads the store for others, are suspended at random.
+
+    Runs in virtual time.
+    """
 
     async def check():
         fleet = StoreFleet(entries=10, halls=2, targets=20)
--- a/properties/test_gateway.py
+++ b/properties/test_gateway.py
@@ -1,4 +1,7 @@
-"""At most once over kept connections: targets that answer twice, late, cut or not at all."""
+"""Property test: requests run at most once over kept connections to faulty targets.
+
+The targets answer twice, late, incompletely or not at all.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 def build_scripts(target, ran):
-    """Build the ways in which a target may end a request; all but `shed` run it."""
+    """Return a function from script names to scripts of a target; all but `shed` count a run."""
     earlier = {}
 
     async def surplus(request, writer):
@@ -26,7 +29,7 @@
         await target.answer(request, writer)
 
     async def close(request, writer):
-        """Answer, and close the connection while the next request may be on its way."""
+        """Answer, then close the connection while the next request may be in transit."""
         await target.answer(request, writer)
         writer.close()
 
@@ -46,7 +49,7 @@
 
 
 async def play(plan):
-    """Send one order after the other while each target follows its script."""
+    """Send one request per step of the plan, while each target follows its script."""
     ran = Counter()
     async with GatewayKit.open(targets=TARGETS, route={"kind": "at-most-once"}) as kit:
         choosers = [build_scripts(target, ran) for target in kit.targets.values()]
