--- a/halldoor/gateway/exchange.py
+++ b/halldoor/gateway/exchange.py
@@ -93,13 +93,7 @@
 
 
 class Rejected(NamedTuple):
-    """The target rejected the request and did not run it.
-
-    Attributes
-    ----------
-    is_other_incarnation : bool
-        Whether another incarnation than the expected one listens at the address.
-    """
+    """The target rejected the request, or another incarnation did: it was not run."""
 
     status: int
     is_other_incarnation: bool
--- a/halldoor/gateway/metrics.py
+++ b/halldoor/gateway/metrics.py
@@ -56,7 +56,7 @@
         )
         self._relay_losses = Counter(
             "halldoor_relay_losses",
-            "Times that a relaying entry was given up and the store used instead.",
+            "Relaying entries given up for the store.",
             registry=registry,
         )
         self._bad_polls = Counter(
--- a/halldoor/gateway/request.py
+++ b/halldoor/gateway/request.py
@@ -227,11 +227,7 @@
         except asyncio.CancelledError:
             self._quarantine.note_unanswered(state.identity, target)
             self._log.event(
-                "request",
-                "The caller disconnected.",
-                id=state.attempt_id,
-                target=name,
-                sent=state.sent_count,
+                "request", "Caller left.", id=state.attempt_id, target=name, sent=state.sent_count
             )
             raise
         self._quarantine.add_outcome(state.identity, target, outcome)
--- a/halldoor/tests/crashkit.py
+++ b/halldoor/tests/crashkit.py
@@ -32,6 +32,7 @@
         self.running = []
 
     async def work(self, request, writer):
+        """Run a request: crash if its path is `BAD`, answer it otherwise."""
         self.fleet.sent[request.target].append(self.fleet.now())
         self.running.append(request.target)
         try:
@@ -75,6 +76,7 @@
     @classmethod
     @contextlib.asynccontextmanager
     async def open(cls, **options):
+        """Start 12 targets and all entries, and stop them at exit."""
         fleet = cls(**options)
         for _ in range(12):
             await fleet.start_target()
@@ -89,9 +91,11 @@
                 await target.stop()
 
     def now(self):
+        """Return the time of the loop's clock, in seconds."""
         return asyncio.get_running_loop().time()
 
     def spawn(self, work):
+        """Run a coroutine as a task that is cancelled at exit."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -121,6 +125,7 @@
         await self.start_entries()
 
     async def start_target(self):
+        """Start a target under a new name and write its record."""
         self._names += 1
         target = CrashingTarget(f"t{self._names}", self)
         await target.start()
@@ -137,6 +142,7 @@
         self.spawn(self._replace(target))
 
     async def _replace(self, target):
+        """Stop a crashed target, and start a new one after a random time."""
         await target.stop()
         await asyncio.sleep(self.random.uniform(*AWAY_S))
         self.store.remove(f"targets/{target.incarnation}")
--- a/halldoor/tests/gatewaykit.py
+++ b/halldoor/tests/gatewaykit.py
@@ -73,6 +73,7 @@
     async def open(
         cls, *, targets=2, route=None, teams=(), is_configured=True, store=None, **settings
     ):
+        """Start targets and a gateway, wait until it has read the store, and stop them at exit."""
         kit = cls(settings, store)
         if is_configured:
             kit.configure(teams=teams, **(route or {}))
@@ -90,6 +91,7 @@
                 await target.stop()
 
     def configure(self, *, limits=None, teams=(), **changes):
+        """Write a new version of the configuration, with changed fields of the route."""
         self.version += 1
         data = {
             "version": self.version,
@@ -102,6 +104,7 @@
         self.store.put("routing", msgspec.json.encode(data))
 
     async def add_target(self, name, **changes):
+        """Start a scripted target and write its record, with changed fields."""
         target = ScriptedTarget(name, NAMES)
         await target.start()
         self.targets[name] = target
@@ -109,6 +112,7 @@
         return target
 
     def write_target(self, name, **changes):
+        """Write the store record of a target, with changed fields."""
         model = TargetModel(
             **{"service": "deck", "address": self.targets[name].address, "hall": "ams-a"}
             | {"slots": 6}
@@ -117,29 +121,35 @@
         self.store.put(f"targets/{name}", msgspec.json.encode(model))
 
     def script_all(self, name):
+        """Set the script of all targets by its name."""
         for target in self.targets.values():
             target.script = getattr(target, name)
 
     @property
     def received(self):
+        """Requests received by all targets."""
         return [r for t in self.targets.values() for r in t.received]
 
     async def wait(self, condition, *, limit_s=10.0):
+        """Wait until a condition holds, at most `limit_s` seconds."""
         async with asyncio.timeout(limit_s):
             while not condition():
                 await asyncio.sleep(0.005)
 
     @property
     def front_port(self):
+        """Port on which the gateway accepts callers."""
         return self.gateway._front.sockets[0].getsockname()[1]
 
     async def connect(self, source="127.0.0.1"):
+        """Open a caller's connection to the gateway from a source address."""
         address = (source, 0)
         return Caller(
             *await asyncio.open_connection("127.0.0.1", self.front_port, local_addr=address)
         )
 
     async def call(self, *, source="127.0.0.1", **request):
+        """Send one request over a new connection and return its reply."""
         caller = await self.connect(source)
         try:
             return await caller.call(**request)
@@ -178,6 +188,7 @@
         self.body = body
 
     def find(self, name):
+        """Return the first value of a header field, or empty."""
         return find(self.headers, name)
 
 
@@ -213,6 +224,7 @@
         return h11.Request(method=method, target=path, headers=fields)
 
     async def send(self, **request):
+        """Send one request with its body."""
         body = request.get("body", b"")
         self.writer.write(self._h11.send(self.build(**request)))
         if body:
@@ -238,6 +250,7 @@
                     raise ConnectionResetError
 
     async def call(self, **request):
+        """Send one request, return its reply and prepare the connection for the next."""
         await self.send(**request)
         reply = await self.receive()
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
@@ -245,4 +258,5 @@
         return reply
 
     def close(self):
+        """Abort the connection."""
         self.writer.transport.abort()
--- a/halldoor/tests/test_eventlog.py
+++ b/halldoor/tests/test_eventlog.py
@@ -10,6 +10,7 @@
 
 
 def write(calls, *, pause_s=0.0):
+    """Log requests with the given fields and return the lines written."""
     read_end, write_end = os.pipe()
     log = EventLog("e1", fd=write_end)
     for i, fields in enumerate(calls):
@@ -23,6 +24,7 @@
 
 
 def answered(took_ms=50, aim_ms=300):
+    """Return the log fields of a successful request."""
     return {"status": 200, "outcome": "answered", "took_ms": took_ms, "aim_ms": aim_ms}
 
 
--- a/halldoor/tests/test_flows.py
+++ b/halldoor/tests/test_flows.py
@@ -18,6 +18,7 @@
 
 
 def add(flow, at_s, *, near=0, spilled=0, first=0):
+    """Count requests by reason at a time, and return the moves reported."""
     moves = [flow.add("ams", RunReason.NEAR, at_s) for _ in range(near)]
     moves += [flow.add("grq", RunReason.SPILLED, at_s) for _ in range(spilled)]
     moves += [flow.add("grq", RunReason.FIRST, at_s) for _ in range(first)]
--- a/halldoor/tests/test_kept_connections.py
+++ b/halldoor/tests/test_kept_connections.py
@@ -10,6 +10,7 @@
 
 
 def by_kind(kind):
+    """Return the route fields to override for a kind of request."""
     return {"kind": kind}
 
 
--- a/halldoor/tests/test_quick_rejections.py
+++ b/halldoor/tests/test_quick_rejections.py
@@ -13,6 +13,7 @@
 
 
 def count_since(target, since):
+    """Return the number of requests that a target received since a time."""
     return sum(at >= since for at, _ in target.arrivals)
 
 
--- a/halldoor/tests/test_suspension.py
+++ b/halldoor/tests/test_suspension.py
@@ -46,10 +46,12 @@
 
 @pytest.fixture
 def suspension(monkeypatch):
+    """Return a simulated suspension of the host, without any suspended time yet."""
     return Suspension(monkeypatch)
 
 
 async def ask(address, target):
+    """Send a GET request to an address and return the status."""
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(f"GET {target} HTTP/1.1\r\nHost: e\r\nConnection: close\r\n\r\n".encode())
     status = int((await reader.readline()).split()[1])
