--- a/halldoor/gateway/metrics.py
+++ b/halldoor/gateway/metrics.py
@@ -55,9 +55,7 @@
             registry=registry,
         )
         self._relay_losses = Counter(
-            "halldoor_relay_losses",
-            "Relaying entries given up for the store.",
-            registry=registry,
+            "halldoor_relay_losses", "Relaying entries given up for the store.", registry=registry
         )
         self._bad_polls = Counter(
             "halldoor_bad_polls",
