--- a/halldoor/tests/gatewaykit.py
+++ b/halldoor/tests/gatewaykit.py
@@ -1,4 +1,4 @@
-"""A gateway in this process, with scripted targets and raw callers."""
+"""Test kit: a gateway in this process, with scripted targets and raw HTTP callers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 NAMES = HeaderNames()
 ATTEMPT_NUMBERS = itertools.count(1)
-"""Numbers that no two requests of a process share, whichever callers send them."""
+"""Source of attempt ids that are unique among all callers of the process."""
 ROUTE = {
     "name": "r1",
     "host": "decks.example",
@@ -33,15 +33,15 @@
 
 
 def by_kind(kind):
-    """Return the changes of a route of a kind."""
+    """Return the route fields to override for a kind of request."""
     return {"kind": kind}
 
 
 class GatewayKit:
-    """What a test needs: the store, targets, the gateway, and how to call it."""
+    """A store, scripted targets and a gateway, with helpers to configure and call them."""
 
     def __init__(self, settings, store=None):
-        # A stop waits for old look-ups to run out; tests have none to wait for.
+        # Stopping waits until cached look-ups expire, which tests don't need.
         settings = {"lookup_ttl_s": 0.05} | settings
         self.store = store or MemoryStore()
         self.targets = {}
@@ -55,7 +55,7 @@
                     "ready": Address("127.0.0.1", 0),
                     "directory": Address("127.0.0.1", 0),
                     "regions": {"ams-a": "ams", "grq-a": "grq"},
-                    # Retries are tested on an entry that has been up for a while.
+                    # Retries are tested on an entry that no longer counts as newly started.
                     "timings": CatalogTimings(young_s=0.0),
                 }
                 | settings
@@ -73,6 +73,7 @@
     async def open(
         cls, *, targets=2, route=None, teams=(), is_configured=True, store=None, **settings
     ):
+        """Start targets and a gateway, wait until it has read the store, and stop them at exit."""
         kit = cls(settings, store)
         if is_configured:
             kit.configure(teams=teams, **(route or {}))
@@ -90,6 +91,7 @@
                 await target.stop()
 
     def configure(self, *, limits=None, teams=(), **changes):
+        """Write a new version of the configuration, with changed fields of the route."""
         self.version += 1
         data = {
             "version": self.version,
@@ -102,6 +104,7 @@
         self.store.put("routing", msgspec.json.encode(data))
 
     async def add_target(self, name, **changes):
+        """Start a scripted target and write its record, with changed fields."""
         target = ScriptedTarget(name, NAMES)
         await target.start()
         self.targets[name] = target
@@ -109,6 +112,7 @@
         return target
 
     def write_target(self, name, **changes):
+        """Write the store record of a target, with changed fields."""
         model = TargetModel(
             **{"service": "deck", "address": self.targets[name].address, "hall": "ams-a"}
             | {"slots": 6}
@@ -117,29 +121,35 @@
         self.store.put(f"targets/{name}", msgspec.json.encode(model))
 
     def script_all(self, name):
+        """Set the script of all targets by its name."""
         for target in self.targets.values():
             target.script = getattr(target, name)
 
     @property
     def received(self):
+        """Requests received by all targets."""
         return [r for t in self.targets.values() for r in t.received]
 
     async def wait(self, condition, *, limit_s=10.0):
+        """Wait until a condition holds, at most `limit_s` seconds."""
         async with asyncio.timeout(limit_s):
             while not condition():
                 await asyncio.sleep(0.005)
 
     @property
     def front_port(self):
+        """Port on which the gateway accepts callers."""
         return self.gateway._front.sockets[0].getsockname()[1]
 
     async def connect(self, source="127.0.0.1"):
+        """Open a caller's connection to the gateway from a source address."""
         address = (source, 0)
         return Caller(
             *await asyncio.open_connection("127.0.0.1", self.front_port, local_addr=address)
         )
 
     async def call(self, *, source="127.0.0.1", **request):
+        """Send one request over a new connection and return its reply."""
         caller = await self.connect(source)
         try:
             return await caller.call(**request)
@@ -154,7 +164,7 @@
         "lookup_ttl_s": 0.05,
         "timings": CatalogTimings(young_s=0.0),
     }
-    # On this process's own address: on 127.0.0.1 others' connections take ports that were free.
+    # Uses this process's own address: on 127.0.0.1 other processes may take ports found free.
     relays = [Address(IP, port) for port in find_ports(2)]
     async with GatewayKit.open(name="e1", relay=relays[0], teams=teams, **options) as one:
         kit = GatewayKit.open(
@@ -170,7 +180,7 @@
 
 
 class Reply:
-    """What a caller got."""
+    """Answer received by a caller."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -178,11 +188,12 @@
         self.body = body
 
     def find(self, name):
+        """Return the first value of a header field, or empty."""
         return find(self.headers, name)
 
 
 class Caller:
-    """A caller on one connection."""
+    """A caller with one connection to the gateway."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -213,6 +224,7 @@
         return h11.Request(method=method, target=path, headers=fields)
 
     async def send(self, **request):
+        """Send one request with its body."""
         body = request.get("body", b"")
         self.writer.write(self._h11.send(self.build(**request)))
         if body:
@@ -221,7 +233,7 @@
         await self.writer.drain()
 
     async def receive(self, *, limit_s=10.0):
-        """Read one answer; raises where it is broken off."""
+        """Read one answer; raise ConnectionResetError if the connection closes before its end."""
         async with asyncio.timeout(limit_s):
             head, body = None, b""
             while True:
@@ -238,6 +250,7 @@
                     raise ConnectionResetError
 
     async def call(self, **request):
+        """Send one request, return its reply and prepare the connection for the next."""
         await self.send(**request)
         reply = await self.receive()
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
@@ -245,4 +258,5 @@
         return reply
 
     def close(self):
+        """Abort the connection."""
         self.writer.transport.abort()
--- a/halldoor/tests/test_eventlog.py
+++ b/halldoor/tests/test_eventlog.py
@@ -1,4 +1,4 @@
-"""The gateway's log: what is written at which load."""
+"""Tests of the sampling of request lines in the gateway's log."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def write(calls, *, pause_s=0.0):
+    """Log requests with the given fields and return the lines written."""
     read_end, write_end = os.pipe()
     log = EventLog("e1", fd=write_end)
     for i, fields in enumerate(calls):
@@ -23,12 +24,13 @@
 
 
 def answered(took_ms=50, aim_ms=300):
+    """Return the log fields of a successful request."""
     return {"status": 200, "outcome": "answered", "took_ms": took_ms, "aim_ms": aim_ms}
 
 
 class TestSampling:
     def test_a_quiet_entry_writes_every_request(self):
-        """One in 64 was written, however quiet the entry: 26 of 1,870 late ones had a line."""
+        """Regression: one in 64 was logged at any load, so 26 of 1,870 late ones had a line."""
         lines = write([answered()] * 10, pause_s=0.01)
         assert [line["stands_for"] for line in lines] == [1] * 10
 
--- a/halldoor/tests/test_flows.py
+++ b/halldoor/tests/test_flows.py
@@ -1,4 +1,4 @@
-"""In which regions requests run, and what is told when that moves."""
+"""Tests of the counts of requests by region, and of the log line when traffic moves."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 
 
 def add(flow, at_s, *, near=0, spilled=0, first=0):
+    """Count requests by reason at a time, and return the moves reported."""
     moves = [flow.add("ams", RunReason.NEAR, at_s) for _ in range(near)]
     moves += [flow.add("grq", RunReason.SPILLED, at_s) for _ in range(spilled)]
     moves += [flow.add("grq", RunReason.FIRST, at_s) for _ in range(first)]
@@ -76,7 +77,7 @@
         assert (fields["moved"], fields["reason"], fields["version"]) == (1.0, "spilled", 1)
 
     def test_a_hall_of_changed_settings_counts_in_its_region(self):
-        """Regression: requests to a hall that the settings named later counted in no region."""
+        """Regression: requests to a hall added by changed settings counted in no region."""
         catalog = make_catalog()
         orders, metrics = make_chooser(catalog).orders, GatewayMetrics()
         log = SimpleNamespace(event=lambda *texts, **fields: None)
