--- a/halldoor/gateway/backoff.py
+++ b/halldoor/gateway/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between calls to the store that fail in a row."""
+"""Pauses between consecutive failed calls to the store."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from halldoor.core.targets.relay import RETRY_S
 
 BACKOFF_S = 0.25
-"""Time from the first failure in a row to the retry after the second one, in seconds.
+"""Time from the first of consecutive failures to the retry after the second, in seconds.
 
 Later pauses double it, up to `BACKOFF_LIMIT_S`.
 """
 BACKOFF_LIMIT_S = 1.0
-"""Longest pause after failed calls, in seconds: the store's return is noticed within it."""
+"""Longest pause after failed calls, in seconds: the store's return is detected within it."""
 
 
 class Backoff:
-    """Pauses of one entry.
+    """Exponential backoff of one entry's calls.
 
     Parameters
     ----------
     source : random.Random
-        Spreads the first retry.
+        Spreads the first retries of many entries over time.
     """
 
     def __init__(self, source: Random) -> None:
@@ -30,11 +30,11 @@
         self._first_s = 0.0
 
     def reset(self) -> None:
-        """Record a call that succeeded."""
+        """Record a successful call, so that the next failure counts as the first."""
         self._failures = 0
 
     def draw_spread_s(self) -> float:
-        """Draw the pause before a first retry, in seconds."""
+        """Return a random pause before a first retry, in seconds."""
         return self._source.uniform(0.0, RETRY_S)
 
     def find_pause_s(self) -> float:
@@ -45,6 +45,6 @@
             return self._first_s
         if self._failures == 2:
             return BACKOFF_S - self._first_s
-        # The exponent is bounded, for a store that is away for days.
+        # The exponent is bounded: it would overflow while the store is away for days.
         doublings = min(self._failures - 2, 10)
         return min(BACKOFF_LIMIT_S, BACKOFF_S * 2.0**doublings)
--- a/halldoor/gateway/coldstate.py
+++ b/halldoor/gateway/coldstate.py
@@ -1,7 +1,7 @@
-"""Learn that a target is cold where nobody in reach knows the store.
+"""Finds out which targets are cold while neither the store nor an entry in contact can be reached.
 
-An entry without contact to the store, and without an entry that has any, checks the targets that it
-uses by their health answers, and notifies others of the results.
+An entry that is cut off like this requests the health answers of the targets that it uses, and
+notifies other entries of the results.  Otherwise requests would overload a cold target.
 """
 
 from __future__ import annotations
@@ -23,35 +23,35 @@
 from halldoor.gateway.notices import NoticeSender
 
 PERIOD_S = 0.25
-"""Time between two messages, and between two looks for targets to check, in seconds."""
+"""Time between two messages, and between two scans for targets to check, in seconds."""
 CHECK_S = 1.0
-"""Age of what is known of a target from which it is checked, in seconds."""
+"""Age of a target's last statement or check after which it is checked again, in seconds."""
 CHECK_SPREAD = 0.5
-"""Part by which this age differs at random, so that entries check different targets and notify
-each other of the results."""
+"""Largest random share added to `CHECK_S`, so that entries check different targets and notify each
+other of the results."""
 CHECK_TIMEOUT_S = 1.0
-"""Longest wait for a health answer, in seconds; it waits for a slot like a request."""
+"""Time limit of a health answer, in seconds; at the target it waits for a slot like a request."""
 CHECKS_MOST = 24
-"""Checks that are under way at once."""
+"""Largest number of checks in progress at once."""
 
 
 class ColdStateExchange:
-    """The task that checks targets, and exchanges the results with other entries.
+    """Task that checks targets, and exchanges the results with other entries.
 
     Parameters
     ----------
     catalog : Catalog
-        Targets, other entries, and the time of the last contact with the store.
+        Holds the targets, the other entries and the time of the last contact with the store.
     chooser : Chooser
-        Knows which targets are in use.
+        Lists the targets in use.
     sender, port : NoticeSender, DatagramPort
-        Messages to and of other entries.
+        Send messages to other entries and receive theirs.
     names : HeaderNames
         Header names that targets use.
     read_statement : callable
-        Called with a target, status and fields of its health answer, and the time.
+        Called with a target, the status and header fields of its health answer, and the time.
     contact_limit_s : float
-        Time without news of the store after which targets are checked, in seconds.
+        Time without contact with the store after which targets are checked, in seconds.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         port.receive(MessageKind.COLD_STATE, list[ColdNotice], self._receive)
 
     def forget(self, target: str) -> None:
-        """Drop what is kept of a target that is gone."""
+        """Drop the notice and check time of a target that was removed."""
         self._waiting.pop(target, None)
         self._checked_at.pop(target, None)
 
@@ -98,30 +98,26 @@
             for check in self._checks.values():
                 check.cancel()
 
-    # Notices
-
     def _receive(self, notices: list[ColdNotice], sender: Address) -> None:
         """Apply the notices of another entry."""
         for notice in notices:
             self._apply(notice, source=str(sender))
 
     def _apply(self, notice: ColdNotice, *, source: str) -> None:
-        """Apply a target's statement, and log it where it is news."""
+        """Apply a notice to the catalog, and log it where it changed the target's cold state."""
         now = asyncio.get_running_loop().time()
         if notice.is_valid and self._catalog.apply_cold_notice(notice, now):
             self._log.event(
                 "targets",
-                "Cold, without the store.",
+                "Cold, by a health answer; the store is out of reach.",
                 target=notice.target,
                 cold_left_s=notice.cold_left_s,
                 source=source,
                 store_age_ms=round((now - self._catalog.fresh_at) * 1000),
             )
 
-    # Checks
-
     def _check_targets(self, now: float) -> None:
-        """Start a check of each target that is due."""
+        """Start a check of each target that is due, while the store is out of reach."""
         self._checks = {name: task for name, task in self._checks.items() if not task.done()}
         if now - self._catalog.informed_at <= self._contact_limit_s:
             return
@@ -132,7 +128,7 @@
             self._checks[target.name] = asyncio.ensure_future(self._check(target))
 
     def _list_due(self, now: float) -> Iterable[Target]:
-        """Return the targets in use whose cold state is not known well enough, oldest first."""
+        """Return the targets in use whose cold state is outdated, oldest first."""
         due = []
         for name in self._chooser.list_in_use(now):
             target = self._catalog.find_target(name)
@@ -146,7 +142,7 @@
         return [target for *_, target in sorted(due, key=lambda entry: entry[:2])]
 
     async def _check(self, target: Target) -> None:
-        """Check one target, and notify others of what it says."""
+        """Request a target's health answer, apply it, and queue a notice of its cold state."""
         path = self._find_health_path(target)
         if not path:
             return
@@ -156,7 +152,7 @@
             answer = await client.call("GET", path, headers=headers, timeout_s=CHECK_TIMEOUT_S)
         except HttpCallError as exc:
             self._metrics.add_health_check("failed")
-            self._log.event("targets", "No health answer.", target=target.name, cause=str(exc))
+            self._log.event("targets", "Health check failed.", target=target.name, cause=str(exc))
             return
         finally:
             client.close()
@@ -170,13 +166,13 @@
             self._waiting[notice.target] = notice
 
     def _find_health_path(self, target: Target) -> str:
-        """Return the path of a target's health answers; empty where it has no cold rate."""
+        """Return the path of a target's health check; empty where its service has no cold rate."""
         routing = self._catalog.routing
         service = routing.services.get(target.record.service) if routing is not None else None
         return service.health_path if service is not None and service.cold_rate_per_s > 0 else ""
 
     def _read_answer(self, target: Target, answer: HttpAnswer) -> ColdNotice | None:
-        """Read how long a target is cold; None where its answer does not say."""
+        """Return a notice of how long a target is cold; None where its answer is unusable."""
         if find(answer.headers, self._names.incarnation) != target.name.encode():
             return None
         try:
--- a/halldoor/gateway/datagrams.py
+++ b/halldoor/gateway/datagrams.py
@@ -1,7 +1,7 @@
-"""Short messages between entries, by datagrams.
+"""Sends and receives short messages between entries as UDP datagrams.
 
-Datagrams, since a late message is worth nothing, a lost one is made up for by the next, and neither
-may hold up the other.  A frozen or cut off peer costs nothing here.
+Datagrams, since a late message is useless, a lost one is replaced by the next, and neither may
+delay another.  A frozen or unreachable peer holds up no sender.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class MessageKind(IntEnum):
-    """First byte of a message: what the rest holds."""
+    """Kind of a message, sent as its first byte; it determines the type of the content."""
 
     QUOTA_REPORT = 1
     QUOTA_SHARES = 2
@@ -41,18 +41,18 @@
         MessageKind.STORE_NEWS,
     }
 )
-"""Kinds that are believed from registered entries only: any of them can take a target out."""
+"""Kinds that are accepted from registered entries only: each can take a target out of use."""
 
 
 class DatagramPort(asyncio.DatagramProtocol):
-    """The socket for messages of other entries.
+    """Socket for messages between entries.
 
     Parameters
     ----------
     address : Address or None
-        Where it listens; None: nothing is sent or heard.
+        Address to listen on; None: nothing is sent or received.
     is_entry : callable
-        Whether an address is an entry's.
+        Returns whether an address belongs to a registered entry.
     """
 
     def __init__(
@@ -69,28 +69,28 @@
         self._receivers: dict[int, tuple[Any, Receiver]] = {}
 
     def receive(self, kind: MessageKind, message_type: Any, receiver: Receiver) -> None:
-        """Pass messages of a kind on to a receiver."""
+        """Register the receiver of a kind of messages, and the type of their content."""
         self._receivers[kind] = (message_type, receiver)
 
     async def start(self) -> None:
-        """Open the port."""
+        """Open the socket."""
         if self._address is not None:
             loop = asyncio.get_running_loop()
             local = (self._address.ip, self._address.port)
             await loop.create_datagram_endpoint(lambda: self, local_addr=local)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket."""
-        # The loop's own class of datagram transports is none of `asyncio.DatagramTransport`.
+        """Store the transport of the opened socket."""
+        # The event loop's datagram transports do not derive from `asyncio.DatagramTransport`.
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def close(self) -> None:
-        """Close the port."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
     def send(self, kind: MessageKind, message: Any, *addresses: Address | None) -> None:
-        """Send a message; one that can't be sent now is dropped."""
+        """Send a message to some addresses; drop it where it can't be sent now."""
         if self._transport is None:
             return
         data = bytes([kind]) + msgspec.msgpack.encode(message)
@@ -99,7 +99,7 @@
                 self._transport.sendto(data, (address.ip, address.port))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Receive a message; one that can't be read is counted and dropped."""
+        """Decode a message and pass it to its receiver; count and drop an invalid one."""
         message_type, receiver = self._receivers.get(data[0] if data else 0, (None, None))
         if receiver is None:
             self._metrics.add_message("unknown")
@@ -116,5 +116,5 @@
         receiver(message, Address(*addr))
 
     def error_received(self, exc: Exception) -> None:
-        """Count a message that could not be delivered; the next one follows anyhow."""
+        """Count a message that could not be delivered; it is not sent again."""
         self._metrics.add_message("undelivered")
--- a/halldoor/gateway/exchanges.py
+++ b/halldoor/gateway/exchanges.py
@@ -1,4 +1,4 @@
-"""What an entry exchanges with others about single targets, and how answers feed it."""
+"""Creates the exchanges of information about targets with other entries, and feeds them answers."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class TargetExchanges:
-    """Observations, cold states, limits and leaving targets, as entries tell each other.
+    """Exchanges of observations, cold states, limits and leaving targets between entries.
 
     Parameters
     ----------
     own : MemberRecord
         This entry.
     catalog, chooser : Catalog, Chooser
-        What is known of targets.
+        Hold and choose the targets.
     feedback : TargetFeedback
-        Reads targets' answers; what they say of themselves goes to the exchanges.
+        Reads targets' answers, and passes the statements in them to the exchanges.
     port : DatagramPort
         The socket for messages of other entries.
     names : HeaderNames
@@ -72,6 +72,6 @@
         feedback.on_any_statement += [self.leaving.apply_statement, rests.apply_statement]
 
     def list_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return the tasks, each to be run until cancelled."""
+        """Return the coroutines of the exchanges, each to be run until cancelled."""
         parts = (self.sharing, self.cold_state, self.limits, self.leaving)
         return [part.run() for part in parts]
--- a/halldoor/gateway/filestore.py
+++ b/halldoor/gateway/filestore.py
@@ -1,4 +1,4 @@
-"""Records from a YAML file, for a gateway that runs without a metadata store."""
+"""Store that reads its records from a YAML file, for a gateway without a metadata store."""
 
 from __future__ import annotations
 
@@ -27,30 +27,30 @@
 from halldoor.gateway.store import Events, Lease, MetadataStore, Page, StoredItem, StoreError
 
 POLL_S = 0.2
-"""Period of looking at the file, in seconds."""
+"""Period of checking the file for changes, in seconds."""
 
 
 class NamedTarget(TargetModel, frozen=True, kw_only=True):
-    """A target with its name."""
+    """A target as written in the file, with its name."""
 
     name: str
 
 
 class NamedMember(MemberModel, frozen=True, kw_only=True):
-    """An entry with its name."""
+    """An entry as written in the file, with its name."""
 
     name: str
 
 
 class GatewayConfiguration(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What the YAML file holds; a change takes a higher ``version``.
+    """Content of the YAML file; each change needs a higher ``version``.
 
     Attributes
     ----------
     evacuated_halls : list of str
-        Halls whose targets get nothing.
+        Halls whose targets get no requests.
     entries : list of NamedMember
-        What look-ups name.
+        Entries that look-ups return.
     """
 
     version: int
@@ -63,7 +63,7 @@
     entries: list[NamedMember] = []
 
     def to_model(self) -> RoutingModel:
-        """Return the part that is the routes, services, limits and teams."""
+        """Return the routes, services, limits and teams as a model."""
         return RoutingModel(
             version=self.version,
             routes=self.routes,
@@ -73,7 +73,7 @@
         )
 
     def to_records(self) -> dict[str, bytes]:
-        """Return the records by key."""
+        """Return the encoded records by key."""
         routing = self.to_model()
         records = {ROUTING_KEY: msgspec.json.encode(routing)}
         records |= {EVACUATION_PREFIX + hall: b"{}" for hall in self.evacuated_halls}
@@ -83,19 +83,19 @@
 
 
 def _encode_unnamed(model: NamedTarget | NamedMember) -> bytes:
-    """Encode a record whose name is its key."""
+    """Encode a record without its name, which is part of the key."""
     data = msgspec.to_builtins(model)
     del data["name"]
     return msgspec.json.encode(data)
 
 
 def load_configuration(path: Path) -> GatewayConfiguration:
-    """Read and check the file.
+    """Read and check the YAML file.
 
     Raises
     ------
     SettingsError
-        Names what is wrong, where, and the remedy.
+        If the file is invalid; names the fault, its place and the remedy.
     """
     configuration: GatewayConfiguration = parse(
         load_yaml(path), GatewayConfiguration, origin=str(path)
@@ -103,12 +103,14 @@
     try:
         configuration.to_model().to_routing()
     except ValueError as exc:
-        raise SettingsError(f"{path}: {exc}.", remedy="Correct it; the last one holds on.") from exc
+        raise SettingsError(
+            f"{path}: {exc}.", remedy="Correct it; the last valid one stays in force."
+        ) from exc
     return configuration
 
 
 class FileStore(MetadataStore):
-    """A store whose records stand in a file that operators change.
+    """Store whose records are in a file that operators edit.
 
     Parameters
     ----------
@@ -123,13 +125,13 @@
         self._revision = 0
 
     async def read_range(self, prefix: str, *, after: str = "") -> Page:
-        """Read all records with a prefix."""
+        """Read all records with a prefix, as a single page."""
         self._read()
         items = [StoredItem(k, v) for k, v in self._records.items() if k.startswith(prefix)]
         return Page(items, False, self._revision)
 
     async def watch(self, prefix: str, *, after: int, wait_s: float) -> Events:
-        """Wait until the file changes."""
+        """Wait until the file changes, and return the changed records."""
         loop = asyncio.get_running_loop()
         ends = loop.time() + wait_s
         while loop.time() < ends:
@@ -144,33 +146,35 @@
         return Events([], self._revision)
 
     def _read(self) -> None:
-        """Read the file if it changed; a broken one leaves the records as they are."""
+        """Read the file if it changed; an invalid one leaves the records unchanged."""
         try:
             changed_at = self._path.stat().st_mtime
             if changed_at == self._read_at:
                 return
             self._records = load_configuration(self._path).to_records()
         except (HalldoorError, OSError) as exc:
-            raise StoreError(str(exc), remedy="The records before stay in force.") from exc
+            raise StoreError(
+                str(exc), remedy="Correct the file; the previous records stay in force."
+            ) from exc
         self._read_at = changed_at
         self._revision += 1
 
     async def write(self, key: str, value: bytes, *, lease: str) -> None:
-        """Do nothing: the file names the entries."""
+        """Do nothing: the file lists the entries."""
 
     async def claim(self, key: str, *, lease: str) -> bool:
-        """Refuse: entries share nothing here, so that each would hold the key."""
+        """Return False: entries share no state here, so each of them could claim the key."""
         return False
 
     async def create_lease(self, ttl_s: float) -> Lease:
-        """Return a lease that never lapses."""
+        """Return a lease that never expires."""
         return Lease("file", ttl_s)
 
     async def renew_lease(self, lease: str) -> None:
-        """Do nothing."""
+        """Do nothing: leases never expire here."""
 
     async def end_lease(self, lease: str) -> None:
-        """Do nothing."""
+        """Do nothing: leases never expire here."""
 
 
 class GatewayFileSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -179,7 +183,7 @@
     Attributes
     ----------
     configuration : str
-        YAML file with routes, services and targets; changes in it are taken up.
+        YAML file with routes, services and targets; changes take effect without a restart.
     regions : dict of str to str
         Region of each hall.
     policy : dict
--- a/halldoor/gateway/following.py
+++ b/halldoor/gateway/following.py
@@ -1,4 +1,4 @@
-"""Let the parts of an entry follow what changes in its catalog."""
+"""Dispatches changes of the catalog to the other components of an entry."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 class ChangeFollower:
-    """Notifies the other parts of each change that was applied.
+    """Dispatcher of each change that was applied to the catalog.
 
     Parameters
     ----------
     own_name : str
         Name of this entry.
     catalog : Catalog
-        Where the changes were applied.
+        Holds the state after the changes.
     feedback, quarantine, registration, cold_state, limits
-        Who follows them.
+        Components that are notified.
     is_stopping : callable
-        Tells whether the own record goes because this entry leaves.
+        Returns whether this entry is stopping, so that the removal of its own record is expected.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._log = log
 
     def note_change(self, change: Change) -> None:
-        """Notify the parts of a change."""
+        """Notify the components that a change concerns."""
         match change:
             case TargetSeen(record) if self._catalog.take_restart(record.incarnation):
                 self._note_gone(record.incarnation)
@@ -80,7 +80,7 @@
                 self._quarantine.note_members()
 
     def _note_gone(self, incarnation: str) -> None:
-        """Notify the parts that a start of a target is gone."""
+        """Notify the components that one incarnation of a target is gone."""
         self._feedback.forget_target(incarnation)
         self._quarantine.note_gone(incarnation)
         self._cold_state.forget(incarnation)
--- a/halldoor/gateway/handover.py
+++ b/halldoor/gateway/handover.py
@@ -1,8 +1,8 @@
-"""Hand all records of the store to another entry, in place of the store's pages.
+"""Transfers all records of the store from one entry to another.
 
-Load pattern: all entries read everything at once, because all start or because the store came back
-from a copy.  Each page is a call, so that calls grow with entries times records; here a hall's
-readers read, and the others ask them.
+When all entries start, or the store was restored from a copy, all of them need all records at once.
+Each page is a call to the store, so calls would grow with entries times records; instead only a
+hall's readers read the store, and the other entries fetch the records from them.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 RECORDS_PATH = "/records"
 PACKED = "packed"
-"""Query field of an entry that takes compressed records."""
+"""Query field by which an entry asks for compressed records."""
 PACK_LEVEL = 1
 
 
 class ReaderLostError(Exception):
-    """The reader can't be relied on now; watch the store."""
+    """The reader can't be used now; the store has to be watched instead."""
 
 
 class ReaderSilentError(ReaderLostError):
-    """The reader does not answer; nothing else is to be asked of it now."""
+    """The reader does not answer; no other request should be sent to it now."""
 
 
 class Whole(NamedTuple):
@@ -38,12 +38,14 @@
 
     Attributes
     ----------
+    revision : int
+        Every change up to this revision is included.
     era : str
-        Which copy of the store the revision is of.
+        Copy of the store that the revision belongs to.
     proven_at : float
         Moment up to which every change is included, on the loop's clock.
     newest : int
-        Revision of the newest part; no part holds anything later.
+        Revision of the newest page; no page holds a later change.
     """
 
     items: list[StoredItem]
@@ -54,16 +56,16 @@
 
 
 class HandedRecords(msgspec.Struct, frozen=True):
-    """Answer to a question for all records.
+    """Answer to a request for all records.
 
     Attributes
     ----------
     items : msgspec.Raw
         The records, as a list of `StoredItem`; or that list as bytes, compressed with zlib.
     era : str
-        Which copy of the store the revision is of.
+        Copy of the store that the revision belongs to.
     age_s : float
-        Age of the answering entry's proof, in seconds.
+        Time since the moment up to which the sender's state is complete, in seconds.
     """
 
     items: msgspec.Raw
@@ -73,12 +75,12 @@
 
 
 class RecordTable:
-    """All records, as an entry read them, encoded once for all that ask.
+    """All records of the store, encoded once for all entries that request them.
 
     Attributes
     ----------
     era : str
-        Which copy of the store they are of.
+        Copy of the store that the records are of.
     """
 
     def __init__(self) -> None:
@@ -89,7 +91,7 @@
         self._packed: bytes | None = None
 
     def find_difference(self, whole: Whole) -> Batch[StoredItem] | None:
-        """Return what leads from these records to all that was read; None where nothing does."""
+        """Return the changes from these records to newer ones; None if they can't be compared."""
         before = self._revision
         if before is None or self.era != whole.era or whole.revision < before:
             return None
@@ -99,17 +101,17 @@
         return Batch(before, whole.revision, items, is_difference=True)
 
     def begin(self, whole: Whole) -> None:
-        """Begin anew with all that was read."""
+        """Replace all records with those of a full read."""
         self.era, self._revision = whole.era, whole.revision
         self._records = {item.key: item for item in whole.items}
         self._forget_encoded()
 
     def _forget_encoded(self) -> None:
-        """Drop what was encoded of records that are no longer the same."""
+        """Drop the encoded records after a change."""
         self._encoded = self._packed = None
 
     def take(self, items: Iterable[StoredItem], revision: int) -> None:
-        """Follow changes."""
+        """Apply changes up to a revision."""
         self._revision = revision
         for item in items:
             self._forget_encoded()
@@ -123,7 +125,7 @@
         return self._revision is not None and wanted.is_met_by(self.era)
 
     def encode(self, age_s: float, *, is_packed: bool) -> bytes:
-        """Encode the answer to a question for all of them; something must have been read."""
+        """Encode the answer with all records; call it only after a full read."""
         assert self._revision is not None
         if self._encoded is None:
             self._encoded = msgspec.msgpack.encode(list(self._records.values()))
@@ -137,17 +139,17 @@
 
 
 async def ask_for_whole(client: HttpClient, wanted: WantedEra, *, timeout_s: float) -> Whole:
-    """Ask an entry for all records.
+    """Request all records from another entry.
 
     Parameters
     ----------
     timeout_s : float
-        Time for the answer, the entry's own wait for the store included, in seconds.
+        Time limit of the answer, in seconds; includes the other entry's wait for the store.
 
     Raises
     ------
     ReaderLostError
-        Where it can't give them.
+        If the entry does not answer, or not with usable records of the wanted copy.
     """
     query = {name: era for name, era in wanted._asdict().items() if era is not None}
     query[PACKED] = "1"
@@ -164,7 +166,7 @@
     except (msgspec.DecodeError, zlib.error) as exc:
         raise ReaderLostError(f"its answer can't be read: {exc}") from exc
     if not wanted.is_met_by(handed.era):
-        raise ReaderLostError(f"it knows copy {handed.era!r} of the store")
+        raise ReaderLostError(f"its records are of copy {handed.era!r} of the store")
     proven_at = date_poll(sent_at=sent_at, held_s=0.0, age_s=handed.age_s)
     return Whole(items, handed.revision, handed.era, proven_at)
 
@@ -178,12 +180,12 @@
 
 
 def takes_packed(target: str) -> bool:
-    """Check whether a question for all records takes them compressed."""
+    """Check whether a request for all records accepts compressed ones."""
     return dict(parse_qsl(urlsplit(target).query)).get(PACKED) == "1"
 
 
 def parse_wanted_era(target: str) -> WantedEra | None:
-    """Read a question for all records; None where the request target is none."""
+    """Parse the target of a request for all records; None where it is not one."""
     parts = urlsplit(target)
     query = dict(parse_qsl(parts.query, keep_blank_values=True))
     if parts.path != RECORDS_PATH or "newest" not in query:
--- a/halldoor/gateway/leaving.py
+++ b/halldoor/gateway/leaving.py
@@ -1,6 +1,6 @@
-"""Learn from answers that a target leaves, and notify other entries.
+"""Reads from answers that a target is leaving (about to stop), and notifies other entries.
 
-Others learn of it before they send the target anything, and before it is gone.
+So other entries stop sending requests to the target before it is gone.
 """
 
 from __future__ import annotations
@@ -21,22 +21,24 @@
 PERIOD_S = 0.25
 """Time between two messages, in seconds."""
 REPEATS = 3
-"""Messages in which a statement is sent, since one may be lost."""
+"""Number of messages that carry a statement, since one may be lost."""
 LEAVING = b"1"
-"""Value by which a target says that it leaves."""
+"""Header value of a target that is leaving."""
 STAYING = {b"", b"0"}
-"""Values by which it says nothing of the kind."""
+"""Header values of a target that is not leaving."""
 
 
 class _Pending(NamedTuple):
-    """A statement that is still to be sent.
+    """A target's statement that is still to be sent.
 
     Attributes
     ----------
-    said_at : float
-        When the target's answer arrived, at whichever entry.
+    started_ms : int
+        Start of the target's process, in Unix milliseconds.
+    stated_at : float
+        When the target's answer arrived at the first entry, on the loop's clock.
     left : int
-        Messages that are still to carry it.
+        Number of messages that are still to carry it.
     """
 
     started_ms: int
@@ -45,14 +47,14 @@
 
 
 class LeavingExchange:
-    """The task that notifies other entries of targets that leave, and applies their notices.
+    """Task that notifies other entries of targets that leave, and applies their notices.
 
     Parameters
     ----------
     catalog : Catalog
-        Targets and other entries.
+        Holds the targets and the other entries.
     sender, port : NoticeSender, DatagramPort
-        Messages to and of other entries.
+        Send messages to other entries and receive theirs.
     """
 
     def __init__(
@@ -72,7 +74,7 @@
         port.receive(MessageKind.LEAVING, list[LeavingNotice], self._receive)
 
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
-        """Apply whether a target's answer says that it leaves."""
+        """Mark a target as leaving if its answer says so, and queue notices to other entries."""
         values = set(statement.leaving.split(SEPARATOR))
         if values <= STAYING:
             return
@@ -100,7 +102,7 @@
             }
 
     def _receive(self, notices: list[LeavingNotice], sender: Address) -> None:
-        """Apply the notices of another entry, and pass on what is news."""
+        """Apply the notices of another entry, and relay those that are new here."""
         now = asyncio.get_running_loop().time()
         for notice in notices:
             if not notice.is_valid or notice.age_s >= HEARSAY_S:
@@ -116,11 +118,11 @@
     def _note_news(
         self, target: str, started_ms: int, said_at: float, now: float, *, source: str
     ) -> None:
-        """Log a statement that was not known, and keep it for the next messages."""
+        """Log a statement that is new here, and queue it for the next messages."""
         self._pending[target] = _Pending(started_ms, said_at)
         self._log.event(
             "targets",
-            "Says that it leaves.",
+            "The target is leaving.",
             target=target,
             source=source,
             age_ms=round((now - said_at) * 1000),
--- a/halldoor/gateway/maintenance.py
+++ b/halldoor/gateway/maintenance.py
@@ -1,4 +1,4 @@
-"""Drop what has run out, and notice when the process stood still."""
+"""Removes expired state periodically, and detects that the process was suspended."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from halldoor.gateway.pool import TargetPool
 
 TICK_S = 0.1
-"""Period of housekeeping, in seconds."""
+"""Period of the housekeeping, in seconds."""
 STALL_S = 1.0
-"""A tick that comes so late means that the process stood still, in seconds."""
+"""Time between two ticks above which the process counts as suspended, in seconds."""
 UNREAD_S = 0.2
-"""Time in which all that lay unread while the process stood still is read, in seconds."""
+"""Time after a suspension within which all data queued meanwhile is read, in seconds."""
 SWEEP_TICKS = 10
 """Ticks between two sweeps of idle connections."""
 
 
 class Maintenance:
-    """The task that does the housekeeping.
+    """Task that does the housekeeping.
 
     Parameters
     ----------
     catalog, pool : Catalog, TargetPool
-        What it sweeps.
+        Hold the records and connections that expire.
     on_change : callable
-        Called with each change that comes of it.
+        Called with each change that the housekeeping makes in the catalog.
     on_stall : callable
-        Called after the process stood still, or its machine was suspended.
+        Called after the process or its host was suspended.
     """
 
     def __init__(
@@ -52,16 +52,16 @@
         self._woke_at = -math.inf
 
     def has_stood_still(self) -> bool:
-        """Check whether the process has just stood still, whether it has noticed or not."""
+        """Check whether the process was suspended just now, also before a tick detects it."""
         now = asyncio.get_running_loop().time()
         return self._is_late(now) or now - self._woke_at < UNREAD_S
 
     def _is_late(self, now: float) -> bool:
-        """Check whether the tick is later than a busy process makes it."""
+        """Check whether the next tick is later than load alone explains."""
         return self._ticked_at is not None and now - self._ticked_at > STALL_S
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Do the housekeeping until cancelled."""
         loop = asyncio.get_running_loop()
         self._ticked_at = loop.time()
         tick = 0
@@ -80,7 +80,11 @@
                 self._pool.sweep()
 
     def _drop_lapsed(self, now: float) -> None:
-        """Drop what did not come back in time after the store did."""
+        """Remove lapsed targets, and apply or expire the other changes that are due.
+
+        A target lapses when its record expired while the store was away, and is removed unless the
+        record is written again in time after the store's return.
+        """
         lapses = dict(self._catalog.lapsed)
         for name in self._catalog.drop_lapsed(now):
             away_ms = round(lapses[name].away_s * 1000)
@@ -89,4 +93,4 @@
         for change in self._catalog.apply_postponed(now):
             self._on_change(change)
         for name in self._catalog.expire_leaving(now):
-            self._log.event("targets", "No longer known to leave.", target=name)
+            self._log.event("targets", "Leaving statement expired.", target=name)
--- a/halldoor/gateway/notices.py
+++ b/halldoor/gateway/notices.py
@@ -1,4 +1,4 @@
-"""Send what one entry learned of targets to others, in datagrams."""
+"""Sends notices about targets to other entries, in datagrams."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from halldoor.gateway.datagrams import DatagramPort, MessageKind
 
 NOTICES_MOST = 16
-"""Notices in one message, so that it fits a datagram."""
+"""Largest number of notices in a message, so that it fits a datagram."""
 
 
 class NoticeSender:
-    """Send notices to the entries that this one notifies.
+    """Sender of notices to the entries that `choose_receivers` returns.
 
     Parameters
     ----------
     own : MemberRecord
         This entry.
     catalog : Catalog
-        Who else is there.
+        Lists the other entries.
     port : DatagramPort
         The socket for messages of other entries.
     """
@@ -36,13 +36,13 @@
         self._members_version = -1
 
     def send(self, kind: MessageKind, notices: Sequence[Any]) -> None:
-        """Send notices, in as many messages as they need."""
+        """Send notices of one kind, split into as many messages as needed."""
         for first in range(0, len(notices), NOTICES_MOST):
             part = notices[first : first + NOTICES_MOST]
             self._port.send(kind, part, *self._get_receivers())
 
     def _get_receivers(self) -> list[Address | None]:
-        """Return the addresses that notices are sent to."""
+        """Return the addresses that notices are sent to, updated when entries come or go."""
         if self._members_version != self._catalog.members_version:
             self._members_version = self._catalog.members_version
             members = choose_receivers(self._catalog.members.values(), self._own)
--- a/halldoor/gateway/pages.py
+++ b/halldoor/gateway/pages.py
@@ -1,4 +1,4 @@
-"""What the gateway answers besides requests: readiness, look-ups and its own figures."""
+"""Answers readiness checks, look-ups of entries, and requests for metrics."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from halldoor.gateway.metrics import GatewayMetrics
 
 NO_ENTRY_RETRY_S = 0.2
-"""When to ask again where no entry is known, in seconds: a start reads the store that fast."""
+"""Retry-After where no entry is known, in seconds: a starting entry reads the store within it."""
 
 
 class GatewayState(NamedTuple):
-    """Who may be sent where, for readiness questions and look-ups.
+    """State that readiness checks and look-ups answer from.
 
     Attributes
     ----------
     is_ready : bool
-        Callers should be sent here.
+        Whether callers should be sent to this entry.
     own : MemberRecord
         This entry.
     members : iterable of MemberRecord
-        The entries known, with or without this one.
+        The registered entries, with or without this one.
     lookup_ttl_s : float
         How long callers may keep a look-up's answer, in seconds.
     """
@@ -38,14 +38,14 @@
 
 
 class GatewayFigures(NamedTuple):
-    """A gateway's figures of the moment, for the metrics page.
+    """Current figures of a gateway, for the metrics page.
 
     Attributes
     ----------
     gauges : dict of str to float
-        Figures of the moment, by name.
+        Current values, by metric name.
     targets_out : iterable of TargetOut
-        Targets that get no requests, or few.
+        Targets that get no requests, or only a few, with the reason.
     """
 
     gauges: dict[str, float]
@@ -53,14 +53,14 @@
 
 
 class Pages:
-    """Handlers of the gateway's small ports.
+    """Handlers of the ports for readiness, look-ups and metrics.
 
     Parameters
     ----------
     read_state, read_figures : callable
-        Give what is to be told.
+        Return the state and the figures to answer with.
     lookups : LookupFormat
-        How look-ups are written.
+        Format of look-ups and their answers.
     metrics : GatewayMetrics
         Counters and histograms.
     """
@@ -79,14 +79,14 @@
         self._random = random.Random()
 
     async def answer_ready(self, caller: CallerConnection, head: Head) -> None:
-        """Answer a readiness question."""
+        """Answer a readiness check: 200 where callers should be sent here, else 503."""
         if head.target.decode("latin-1").partition("?")[0] != self._lookups.ready_path:
             caller.send(Answer(404, []))
             return
         caller.send(Answer(200 if self._read_state().is_ready else 503, []))
 
     async def answer_lookup(self, caller: CallerConnection, head: Head) -> None:
-        """Answer a look-up."""
+        """Answer a look-up with entries that callers may use."""
         query = self._lookups.parse(head.target.decode("latin-1"))
         if query is None:
             caller.send(Answer(404, []))
@@ -107,7 +107,7 @@
         caller.send(Answer(200, [(b"Content-Type", b"application/json")], body))
 
     async def answer_metrics(self, caller: CallerConnection, head: Head) -> None:
-        """Answer with this process's figures."""
+        """Answer with this process's metrics."""
         figures, metrics = self._read_figures(), self._metrics
         for name, value in figures.gauges.items():
             metrics.set(name, value)
--- a/halldoor/gateway/plain.py
+++ b/halldoor/gateway/plain.py
@@ -1,4 +1,4 @@
-"""The product's own records: configuration, targets, evacuations and entries as JSON or YAML."""
+"""Format of halldoor's own records: configuration, targets, evacuations and entries as JSON."""
 
 from __future__ import annotations
 
@@ -40,18 +40,18 @@
 
 
 class _Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all parts."""
+    """Base of the models; unknown fields are errors."""
 
 
 class SplitModel(_Model, frozen=True, kw_only=True):
-    """A service and its weight."""
+    """A service and its weight in a route's split."""
 
     service: str
     weight: float
 
 
 class RouteModel(_Model, frozen=True, kw_only=True):
-    """A route; ``service`` or ``split`` says where its requests go."""
+    """A route; its requests go to ``service``, or to the services in ``split`` by weight."""
 
     name: str
     host: str
@@ -69,19 +69,19 @@
 
 
 class TeamModel(_Model, frozen=True, kw_only=True):
-    """A team; its keys are given by their SHA-256 digests, in hexadecimal."""
+    """A team; its keys are stored as SHA-256 digests in hexadecimal."""
 
     name: str
     key_digests: list[str] = []
     priority: int | None = None
     rate_per_s: float = 0.0
-    """0: no limit."""
+    """Quota in requests per second; 0: no limit."""
     burst: float = 0.0
     home_regions: list[str] = []
 
 
 class ServiceModel(_Model, frozen=True, kw_only=True):
-    """A service and what holds for its targets."""
+    """A service, and the settings of its targets."""
 
     name: str
     health_path: str = "/health"
@@ -91,7 +91,7 @@
 
 
 class LimitsModel(_Model, frozen=True, kw_only=True):
-    """Limits on callers."""
+    """Limits on callers' requests and connections."""
 
     head_bytes: int = 16_384
     body_bytes: int = 67_108_864
@@ -100,7 +100,7 @@
 
 
 class RoutingModel(_Model, frozen=True, kw_only=True):
-    """One version of the configuration of the request path."""
+    """One version of the configuration: routes, services, limits and teams."""
 
     version: int
     routes: list[RouteModel]
@@ -109,7 +109,7 @@
     teams: list[TeamModel] = []
 
     def to_routing(self) -> Routing:
-        """Build what the core works with."""
+        """Build the core's `Routing`, and check it."""
         routes = tuple(_build_route(route) for route in self.routes)
         services = {s.name: TargetService(**msgspec.structs.asdict(s)) for s in self.services}
         limits = CallerLimits(**msgspec.structs.asdict(self.limits))
@@ -120,7 +120,7 @@
 
 
 class TargetModel(_Model, frozen=True, kw_only=True):
-    """A target."""
+    """A target's record; its incarnation is in the key."""
 
     service: str
     address: Address
@@ -132,7 +132,7 @@
 
 
 class MemberModel(_Model, frozen=True, kw_only=True):
-    """An entry."""
+    """An entry's record; its name is in the key."""
 
     front: Address
     hall: str
@@ -141,7 +141,7 @@
 
 
 def _build_route(model: RouteModel) -> Route:
-    """Build a route."""
+    """Build the core's `Route` from its model."""
     parts = tuple(SplitPart(p.service, p.weight) for p in model.split)
     return Route(
         name=model.name,
@@ -160,7 +160,7 @@
 
 
 def _build_team(model: TeamModel) -> Team:
-    """Build a team."""
+    """Build the core's `Team` from its model."""
     return Team(
         name=model.name,
         key_digests=tuple(bytes.fromhex(digest) for digest in model.key_digests),
@@ -171,10 +171,10 @@
 
 
 class PlainCodec(RecordCodec):
-    """Records under the product's own keys, as JSON."""
+    """Codec of records as JSON under halldoor's own keys."""
 
     def decode(self, item: StoredItem) -> Change | None:
-        """Decode a record."""
+        """Decode an item to a change; return None for an unknown key."""
         key, value = item
         kind, _, name = key.partition("/")
         if key.startswith(EVIDENCE_PREFIX):
@@ -196,7 +196,7 @@
         return None
 
     def encode_member(self, member: MemberRecord) -> StoredItem:
-        """Encode an entry's own record."""
+        """Encode this entry's record as an item of the store."""
         model = MemberModel(
             front=member.front, hall=member.hall, region=member.region, relay=member.relay
         )
@@ -204,23 +204,25 @@
 
 
 def _decode_evidence(item: StoredItem) -> Change:
-    """Decode evidence against a request."""
+    """Decode evidence against a request; raise `StoreError` if it is invalid."""
     try:
         return decode_evidence(item)
     except msgspec.DecodeError as exc:
-        raise StoreError(f"{item.key}: {exc}.", remedy="The record is passed over.") from exc
+        raise StoreError(f"{item.key}: {exc}.", remedy="The record is ignored.") from exc
 
 
 def _read_routing(key: str, value: bytes) -> Routing:
-    """Decode a configuration; one whose parts don't fit together is refused whole."""
+    """Decode and check a configuration; raise `StoreError` if it is inconsistent."""
     try:
         return _read(key, value, RoutingModel).to_routing()
     except ValueError as exc:
-        raise StoreError(f"{key}: {exc}.", remedy="Correct it; the last one holds on.") from exc
+        raise StoreError(
+            f"{key}: {exc}.", remedy="Correct it; the last valid one stays in force."
+        ) from exc
 
 
 def _read(key: str, value: bytes, kind: type[T]) -> T:
-    """Decode JSON and check it."""
+    """Decode JSON of a type; raise `StoreError` if it does not match."""
     try:
         return msgspec.json.decode(value, type=kind)
     except msgspec.DecodeError as exc:
--- a/halldoor/gateway/polls.py
+++ b/halldoor/gateway/polls.py
@@ -1,4 +1,4 @@
-"""Messages by which an entry asks another one for changes of the store."""
+"""Messages with which an entry polls another one for changes of the store."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 PATH = "/changes"
 OTHER_ERA = 409
-"""Status of a poll for changes of another copy of the store."""
+"""Status that answers a poll for changes of another copy of the store."""
 
 
 class OtherEraError(Exception):
-    """The reader knows another copy of the store: everything has to be read anew."""
+    """The reader follows another copy of the store: all records have to be read again."""
 
 
 class ContactLostError(Exception):
-    """Nothing was heard of the store for too long while a watch waited."""
+    """No answer or report of the store arrived for too long while a watch waited."""
 
 
 class RelayedChanges(msgspec.Struct, frozen=True):
-    """Answer to a poll.
+    """Answer to a poll, with the changes after its revision.
 
     Attributes
     ----------
     age_s : float
-        Age of the answering entry's proof, in seconds.
+        Time since the moment up to which the sender's state is complete, in seconds.
     held_s : float
         Time for which the poll was held, in seconds.
     is_difference : bool
-        What came and went meanwhile may be left out.
+        Whether changes that were undone before the newest revision may be left out.
     contact : ContactReport or None
         The answering entry's contact with the store.
     """
@@ -65,11 +65,12 @@
     proven_at : float
         Moment up to which every change is included, on the loop's clock.
     is_relayed : bool
-        They came from another entry.
+        The changes came from another entry.
     is_substitute : bool
-        They came from an entry that took the place of the store.
+        The changes came from a substitute for the store: an entry that is polled while this one
+        has no contact with the store.
     is_difference : bool
-        What came and went meanwhile may be left out.
+        Whether changes that were undone before the newest revision may be left out.
     """
 
     events: Events
@@ -79,7 +80,7 @@
     is_difference: bool = False
 
     def to_batch(self, after: int) -> Batch[StoredItem]:
-        """Return the changes after a revision, as followers are told of them."""
+        """Return the changes after a revision as a batch for followers."""
         return Batch(
             after=after,
             revision=self.events.revision,
@@ -89,14 +90,18 @@
 
 
 class Poll(NamedTuple):
-    """A question for changes.
+    """A request for changes after a revision.
 
     Attributes
     ----------
+    after : int
+        Revision after which changes are wanted.
+    wait_s : float
+        Longest time to wait for changes, in seconds.
     era : str
-        Which copy of the store its revision is of.
+        Copy of the store that the revision belongs to.
     needs_contact : bool
-        Only an entry in contact with the store is to answer, at any age of its proof.
+        Whether only an entry in contact with the store may answer, whatever the age of its state.
     """
 
     after: int
@@ -106,7 +111,7 @@
 
 
 def parse_poll(target: str) -> Poll | None:
-    """Parse a request target; None where it is no poll."""
+    """Parse the target of a poll; None where it is not one."""
     parts = urlsplit(target)
     if parts.path != PATH:
         return None
@@ -130,18 +135,18 @@
     Parameters
     ----------
     contact : StoreContact
-        Where the other entry's contact with the store is recorded, also if it has no changes.
+        Records the other entry's contact with the store, also if it sends no changes.
     sent_at : float
-        Time on the loop's clock.
+        When the poll is sent, on the loop's clock.
     answer_s : float
-        Time for the answer beyond the poll's wait, in seconds.
+        Time limit of the answer in addition to the poll's wait, in seconds.
 
     Raises
     ------
     ReaderLostError
-        Where no answer came that can be used.
+        If no usable answer arrives.
     OtherEraError
-        Where the other entry knows another copy of the store.
+        If the other entry follows another copy of the store.
     """
     query = {"after": poll.after, "wait_ms": round(poll.wait_s * 1000), "era": poll.era}
     if poll.needs_contact:
--- a/halldoor/gateway/process.py
+++ b/halldoor/gateway/process.py
@@ -1,4 +1,4 @@
-"""The gateway process: its parts, their wiring, and how it stops."""
+"""The gateway process: creates and connects its components, starts them and stops them."""
 
 from __future__ import annotations
 
@@ -44,24 +44,24 @@
 from halldoor.gateway.travel import TravelProbe
 
 QUIET_S = 0.3
-"""Time without a request after which a stopping process may end, in seconds."""
+"""Time without requests or connections after which a stopping process exits, in seconds."""
 STOP_MARGIN_S = 0.3
-"""Time before the end of the grace period at which the process ends by itself, in seconds."""
+"""Time before the end of the grace period at which the process exits anyway, in seconds."""
 
 
 class Gateway:
-    """One gateway process.
+    """A gateway process.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Its settings.
+        Settings of the gateway.
     store, codec : MetadataStore, RecordCodec
-        The store and the meaning of its records.
+        The store, and the decoder of its records.
     lookups : LookupFormat
-        How look-ups are written.
+        Format of look-ups and their answers.
     names : HeaderNames
-        Header names of callers and targets.
+        Header names used by callers and targets.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self.is_stopping = False
 
     def _build_requests(self, names: HeaderNames) -> None:
-        """Build what chooses targets and handles callers' requests."""
+        """Create the components that choose targets and handle callers' requests."""
         settings = self.settings
         outliers = OutlierTable(settings.outliers)
         loads, latency = LoadTable(), LatencyModel()
@@ -171,7 +171,7 @@
         )
 
     def _build_access(self, splitter: Splitter, names: HeaderNames) -> None:
-        """Build what lets requests in, by routes, teams and quotas, and lets them be repeated."""
+        """Create the components that admit requests (routes, teams, quotas) and allow retries."""
         settings = self.settings
         self.retries = RetryGate(self.catalog, settings.retries)
         gate = QuotaGate(settings.name, secrets.randbits(32), Random().random)
@@ -186,7 +186,7 @@
         self.quotas = QuotaExchange(self.member, self.catalog, self.access, self.port, log=self.log)
 
     def _build_store_tasks(self, store: MetadataStore, codec: RecordCodec) -> None:
-        """Build what keeps the catalog in step with the store, and this entry registered."""
+        """Create the components that follow the store and register this entry in it."""
         settings = self.settings
         self.feed = ChangeFeed(
             store,
@@ -239,8 +239,6 @@
             log=self.log,
         )
 
-    # Life
-
     @property
     def is_ready(self) -> bool:
         """Check whether callers should be sent here."""
@@ -248,11 +246,11 @@
 
     @property
     def is_confirming(self) -> bool:
-        """Check whether what is known, or comes in, may be old: the process stood still."""
+        """Check whether cached state or received data may be outdated after a suspension."""
         return self.sync.is_confirming or self.maintenance.has_stood_still()
 
     def _read_state(self) -> GatewayState:
-        """Return what readiness questions and look-ups ask for."""
+        """Return the state that readiness checks and look-ups answer from."""
         return GatewayState(
             is_ready=self.is_ready,
             own=self.member,
@@ -261,7 +259,7 @@
         )
 
     def _read_figures(self) -> GatewayFigures:
-        """Return the figures of the moment."""
+        """Return the current figures for the metrics page."""
         now = asyncio.get_running_loop().time()
         gauges = {
             "running": self.requests.running,
@@ -324,7 +322,7 @@
             self.log.event("process", "This system's clock does not count suspensions.")
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take up changed settings; requests under way are not touched."""
+        """Apply changed settings; requests in progress are not affected."""
         changed = self.settings.find_changes(settings)
         live = {n: getattr(settings, n) for n in changed if n in LIVE_SETTINGS}
         self.settings = self.settings._replace(**live)
@@ -340,10 +338,10 @@
         self.log.event("process", "Reloaded.", changed=sorted(live), at_next_start=at_restart)
 
     async def stop(self) -> None:
-        """Stop without cutting off a request.
+        """Stop without aborting a request.
 
-        Not ready and out of the look-ups at once; callers that hold an old answer are served
-        until those have run out; then what is being answered is waited for.
+        The entry is not ready and leaves the look-ups at once.  Callers that use an earlier look-up
+        are served until it expires; then the process waits for the requests in progress.
         """
         if self.is_stopping:
             return
@@ -356,7 +354,7 @@
         for caller in list(self._callers):
             caller.is_closing = True
         leaving = loop.create_task(self.registration.leave())
-        # Some callers keep an answer for three times its lifetime.
+        # Some callers keep a look-up's answer for three times its lifetime.
         await asyncio.sleep(min(3 * self.settings.lookup_ttl_s, self.settings.grace_s / 2))
         if self._front is not None:
             self._front.close()
@@ -371,7 +369,7 @@
         await self._end()
 
     async def _end(self) -> None:
-        """Close the ports and end the tasks."""
+        """Close the ports and stop the tasks."""
         self.log.event("process", "Stopped.", running=self.requests.running)
         for server in self._servers:
             server.close()
@@ -382,7 +380,7 @@
         self.log.close()
 
     def _note_stall(self) -> None:
-        """Believe nothing of before: ask the store anew, and use no connection of then."""
+        """Read the store again and drop pooled connections: both may be outdated."""
         self.pool.close()
         self.sync.confirm("the process stood still")
 
@@ -391,5 +389,5 @@
         self.catalog.note_answer(asyncio.get_running_loop().time())
 
     def _note_change(self, change: Change) -> None:
-        """Notify the other parts of a change of the catalog."""
+        """Dispatch a change of the catalog to the other components."""
         self._follower.note_change(change)
--- a/halldoor/gateway/reading.py
+++ b/halldoor/gateway/reading.py
@@ -1,7 +1,7 @@
-"""Read all records of the store, page by page.
+"""Reads all records of the store, page by page.
 
-Pages are no snapshot: each holds at least what the store held at its revision.  So a page whose
-call fails is read again by itself, and changes are watched from the smallest revision of all.
+The pages are no consistent snapshot: each holds at least the changes up to its own revision.  So a
+page whose call fails is read again by itself, and the watch starts at the smallest revision of all.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from halldoor.gateway.store import HistoryGoneError, MetadataStore, Page, StoreError
 
 KEPT_S = 5.0
-"""Longest time for which pages wait for the others, in seconds: the store may forget the history
-since then."""
+"""Longest time that pages are kept until all are read, in seconds: later the store may have dropped
+the history since the first page."""
 LIMIT_FACTOR = 2
-"""How much longer than the page before one may take, and than its limit where it took longer."""
+"""Factor from the time of the last page, or from its limit if it timed out, to the next limit."""
 
 
 class WholeReader:
-    """Read the whole store; a reading that fails resumes at the page that is missing.
+    """Reader of all records; a failed read resumes at the first missing page.
 
     Parameters
     ----------
     on_page : callable
-        Called with each page, and the copy of the store that it is of, before the next is read.
+        Called with each page and its era before the next page is read.
 
     Attributes
     ----------
     limit_s : float
-        Time for a page, in seconds, once requests depend on it.
+        Least time limit for a page, in seconds; infinite until the first full read is done.
     """
 
     def __init__(
@@ -53,39 +53,39 @@
 
     @property
     def has_pages(self) -> bool:
-        """Whether pages of a reading that failed are kept."""
+        """Whether pages of a read that failed are kept."""
         return bool(self._pages)
 
     def clear(self) -> None:
-        """Drop the pages that are kept; a reading under way fails."""
+        """Drop the kept pages; a read in progress fails with `HistoryGoneError`."""
         self._pages = []
 
     async def read_first(self) -> Page:
-        """Read the first page, unless it is kept.
+        """Return the first page; read it unless it is kept.
 
         Raises
         ------
         StoreError
-            Where the store can't be read.
+            If the store can't be read.
         """
         now = asyncio.get_running_loop().time()
         if self._store.era != self._era or now - self._began_at > KEPT_S:
             self.clear()
         if not self._pages:
             self._pages, self._began_at = [], now
-            # One range over all keys, as in the watch: one by kind of record takes more calls.
+            # One range over all keys, as in the watch: one for each record kind costs more calls.
             await self._read_page(after="")
         return self._pages[0]
 
     async def read_rest(self) -> Whole:
-        """Read the pages after the first.
+        """Read the pages after the first, and return all records.
 
         Raises
         ------
         HistoryGoneError
-            Where the store came back from a copy meanwhile.
+            If the store was restored from a copy meanwhile.
         StoreError
-            Where the store can't be read; call again to resume.
+            If the store can't be read; call again to resume.
         """
         while self._pages[-1].has_more and self._pages[-1].items:
             await self._read_page(after=self._pages[-1].items[-1].key)
@@ -95,31 +95,31 @@
         return Whole(items, min(revisions), self._era, self._began_at, newest=max(revisions))
 
     async def _read_page(self, *, after: str) -> None:
-        """Read a page, and keep it."""
+        """Read the page after a key, and append it to the kept pages."""
         pages = self._pages
         page = await self._call(after)
         self._metrics.add_store_call("range", "ok")
         era = self._store.era
         if pages is not self._pages:
-            raise HistoryGoneError("The reading was given up.", remedy="Read again.")
+            raise HistoryGoneError("The read was cancelled.", remedy="Read again.")
         if not pages:
             self._era = era
         elif era != self._era:
-            # Revisions of two copies can't be compared; the older may be given out again.
+            # Revisions of two copies can't be compared: the restored store reuses numbers.
             self.clear()
-            raise HistoryGoneError("The store was restored meanwhile.", remedy="Read again.")
+            raise HistoryGoneError("The store was restored during the read.", remedy="Read again.")
         pages.append(page)
         self._on_page(page, era)
 
     async def _call(self, after: str) -> Page:
-        """Read a page in time.
+        """Read a page within a time limit.
 
-        The limit follows the link and the store: a slow one answers in the end.
+        The limit doubles after each timeout, so that a slow link or store answers in the end.
 
         Raises
         ------
         StoreError
-            Where the store can't be read, or does not answer.
+            If the store can't be read, or does not answer in time.
         """
         loop = asyncio.get_running_loop()
         limit_s = max(self.limit_s, self._usual_s)
@@ -130,7 +130,7 @@
         except TimeoutError as exc:
             self._usual_s = LIMIT_FACTOR * limit_s
             raise StoreError(
-                f"No page within {limit_s:.2f} s.", remedy="Check the store and the way to it."
+                f"No page within {limit_s:.2f} s.", remedy="Check the store and the link to it."
             ) from exc
         self._usual_s = LIMIT_FACTOR * (loop.time() - sent_at)
         return page
--- a/halldoor/gateway/records.py
+++ b/halldoor/gateway/records.py
@@ -1,4 +1,4 @@
-"""Records that only entries write, alike in every store: evidence against requests, and trials."""
+"""Records that entries write, alike in every store: evidence against requests, and trials."""
 
 from __future__ import annotations
 
@@ -13,7 +13,15 @@
 
 
 class EndModel(msgspec.Struct, frozen=True):
-    """A target that ended under a request, in Unix milliseconds, and whose it was."""
+    """Crash of a target while it ran a request.
+
+    Attributes
+    ----------
+    target, caller : str
+        The target, and the caller that sent the request.
+    at_ms : int
+        Time of the crash, in Unix milliseconds.
+    """
 
     target: str
     caller: str
@@ -21,7 +29,17 @@
 
 
 class EvidenceModel(msgspec.Struct, frozen=True):
-    """Evidence against a request, whose digest is the end of the key."""
+    """Evidence that a request crashes targets; the key ends with the request's digest.
+
+    Attributes
+    ----------
+    ends : list of EndModel
+        Crashes of targets that ran the request.
+    cleared : list of str
+        Targets whose crash is not blamed on the request, since a target answered it later.
+    was_sound : bool
+        Whether a target answered the request recently.
+    """
 
     ends: list[EndModel]
     cleared: list[str] = []
@@ -29,19 +47,19 @@
 
 
 def encode_evidence(record: EvidenceRecord) -> StoredItem:
-    """Encode evidence."""
+    """Encode evidence as an item of the store."""
     ends = [EndModel(*end) for end in record.ends]
     model = EvidenceModel(ends, list(record.cleared), record.was_sound)
     return StoredItem(EVIDENCE_PREFIX + record.digest, msgspec.json.encode(model))
 
 
 def decode_evidence(item: StoredItem) -> Change:
-    """Decode evidence, or its removal.
+    """Decode an item with evidence, or its removal, to a change.
 
     Raises
     ------
     msgspec.DecodeError
-        Where it can't be read.
+        If the value can't be decoded.
     """
     digest = item.key.removeprefix(EVIDENCE_PREFIX)
     if item.value is None:
@@ -52,5 +70,5 @@
 
 
 def name_trial(digest: str, trial: int) -> str:
-    """Return the key that the entry holds which runs a blocked request once more."""
+    """Return the key that an entry claims before it runs a blocked request as a trial."""
     return f"{TRIAL_PREFIX}{digest}/{trial}"
--- a/halldoor/gateway/registration.py
+++ b/halldoor/gateway/registration.py
@@ -1,4 +1,4 @@
-"""Register this entry in the store under a lease, so that look-ups name it while it lives."""
+"""Registers this entry in the store under a lease, so that look-ups name it while it runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from halldoor.gateway.store import Lease, LeaseGoneError, MetadataStore, RecordCodec, StoreError
 
 LEASE_S = 3.0
-"""Lifetime of the lease, in seconds: a dead entry leaves the look-ups within it."""
+"""Lifetime of the lease, in seconds: look-ups stop naming a crashed entry within it."""
 RENEWAL_S = 1.0
 """Period of renewals, in seconds: three in one lifetime, so that two may be lost."""
 RETRY_S = 0.5
@@ -19,17 +19,17 @@
 
 
 class Registration:
-    """The task that keeps this entry registered.
+    """Task that keeps this entry registered.
 
     Parameters
     ----------
     is_loaded : asyncio.Event
-        Set once everything was read.  An entry that is named in look-ups before answers 503, and
-        no other can follow it yet.
+        Set once all records were read.  An entry that look-ups name earlier would answer 503, and
+        other entries could not follow it yet.
     on_contact : callable
-        Called whenever the store answered a renewal.
+        Called whenever the store accepted a registration or renewal.
     on_return : callable
-        Called when the store answers again after it did not.
+        Called with a cause when the store answers again after a failure, or was restored.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._wake = asyncio.Event()
 
     async def run(self) -> None:
-        """Register once everything was read, and renew until cancelled."""
+        """Register once all records were read, and renew the lease until cancelled."""
         await self._is_loaded.wait()
         while True:
             pause_s = RENEWAL_S
@@ -72,7 +72,7 @@
             except StoreError as exc:
                 self._metrics.add_store_call("lease", "failed")
                 if not self._has_failed:
-                    self._log.event("membership", "Can't renew.", cause=exc.message)
+                    self._log.event("membership", "Can't renew the lease.", cause=exc.message)
                 self._has_failed = True
                 pause_s = RETRY_S
             else:
@@ -88,7 +88,7 @@
                 continue
 
     async def _renew(self) -> None:
-        """Renew the lease, or register anew."""
+        """Renew the lease, or create one; write the own record where it is missing."""
         if self._lease is None:
             self._lease = await self._store.create_lease(LEASE_S)
             self._era = self._store.era
@@ -106,32 +106,34 @@
             self._log.event("membership", "Registered.", lease=self._lease.name)
 
     def _check_era(self) -> None:
-        """Give up a lease that was made before the store was restored from a copy.
+        """Reject a lease that was created before the store was restored from a copy.
 
-        Its name may be given out again, so that this entry would keep another's record alive.
+        The restored store may reuse its name, so that this entry would renew another's lease.
 
         Raises
         ------
         LeaseGoneError
-            Where it was.
+            If the store was restored since the lease was created.
         """
         if self._era != self._store.era:
             self._on_return("the store was restored from a copy")
             raise LeaseGoneError("The store was restored.", remedy="Create another lease.")
 
     def note_gone(self) -> None:
-        """Register again: this entry's record was removed though it lives."""
+        """Write this entry's record again: it was removed while the entry runs."""
         if self._is_written:
             self._is_written = False
             self._wake.set()
 
     async def leave(self) -> None:
-        """End the lease, so that look-ups stop naming this entry at once."""
+        """End the lease, so that look-ups stop naming this entry immediately."""
         lease, self._lease = self._lease, None
         if lease is None or self._era != self._store.era:
             return
         try:
             await self._store.end_lease(lease.name)
-            self._log.event("membership", "Left.")
+            self._log.event("membership", "Removed the own record.")
         except StoreError as exc:
-            self._log.event("membership", "Can't leave; the lease lapses.", cause=exc.message)
+            self._log.event(
+                "membership", "Can't remove the own record; the lease expires.", cause=exc.message
+            )
--- a/halldoor/gateway/relay.py
+++ b/halldoor/gateway/relay.py
@@ -1,8 +1,8 @@
-"""Pass changes of the store on between the entries of a hall: over HTTP, as MessagePack.
+"""Relays changes of the store between the entries of a hall, as MessagePack over HTTP.
 
-A follower polls its reader as it would watch the store: for the changes after a revision.  A poll
-is answered at the reader's next news or proof.  A follower whose knowledge gets too old watches the
-store itself, whatever the cause: a dead, frozen or cut off reader, or a lost connection.
+A follower polls its reader as it would watch the store: for the changes after a revision.  The poll
+is answered at the reader's next update, with or without changes.  A follower whose state gets too
+old (reader crashed, frozen, cut off, or connection lost) watches the store itself.
 """
 
 from __future__ import annotations
@@ -55,31 +55,32 @@
 from halldoor.gateway.substitute import SubstituteReader
 
 CONTACT_CHECK_S = 0.25
-"""Period of looking whether the store is still in contact while a watch waits, in seconds."""
+"""Period of checking for contact with the store while a watch waits, in seconds."""
 WATCH_S = 28.0
-"""Longest wait of a watch that proves nothing to others, in seconds; the store allows 30."""
+"""Longest wait of a watch by an entry without followers, in seconds; the store allows 30."""
 
 
 class ChangeFeed:
-    """Changes after a revision, from the store or from a reader of it.
+    """Source of the store's changes after a revision: the store itself or a reader of it.
 
     Parameters
     ----------
     own : MemberRecord
         This entry.
     catalog : Catalog
-        Who else is there.
+        Lists the other entries.
     settings : RelaySettings
-        When to follow a reader.
+        Decide when a reader is followed, and for how long its state may be old.
     batch_s : float
-        Longest pause after changes of an entry that watches for itself alone, in seconds.
+        Longest pause after changes for an entry that watches the store without followers, in
+        seconds.
     open_client : callable, optional
         Opens a client of another entry.
 
     Attributes
     ----------
     random : random.Random
-        Spreads this entry's calls, so that they differ from other entries'.
+        Spreads this entry's calls, so that entries don't call at the same moment.
     """
 
     def __init__(
@@ -123,7 +124,7 @@
 
     @property
     def has_contact(self) -> bool:
-        """Whether the store answered lately, itself or by way of a reader that proves it."""
+        """Whether the store answered this entry or its reader within the contact limit."""
         return _now() - self._catalog.fresh_at <= self.settings.contact_limit_s
 
     @property
@@ -131,15 +132,13 @@
         """Check whether this entry watches the store."""
         return self._reader is None or _now() < self._direct_until
 
-    # The follower's side, and watching the store
-
     async def wait(self, revision: int) -> Update:
-        """Wait for changes after a revision.
+        """Wait for changes after a revision, from a reader, a substitute or the store.
 
         Raises
         ------
         StoreError
-            Where the store can't be read.
+            If the store can't be read.
         """
         self._choose()
         self._hurried.clear()
@@ -159,7 +158,7 @@
         return await self._watch(revision)
 
     async def pause(self) -> None:
-        """Let several changes make one call to the store."""
+        """Wait after changes, so that several of them cost one call to the store."""
         if not (self._had_changes and self.is_direct):
             return
         pause_s = self.settings.pause_s
@@ -169,14 +168,14 @@
             async with asyncio.timeout(pause_s):
                 await self._hurried.wait()
         except TimeoutError:
-            return  # Nothing came up meanwhile.
+            return  # `skip_pause` was not called meanwhile.
 
     def hurry(self) -> None:
-        """End the pause, or skip the next one: the store holds news that can't wait."""
+        """End the pause, or skip the next one: the store holds a change that is urgent."""
         self._hurried.set()
 
     def _choose(self) -> None:
-        """Choose the reader to follow, once other entries are known than before."""
+        """Choose the reader to follow, if the set of entries changed since the last call."""
         if self._members_version == self._catalog.members_version:
             return
         self._members_version = self._catalog.members_version
@@ -191,23 +190,23 @@
         self._log.event("relay", "Follows." if name else "Watches the store.", reader=name)
 
     def leave_reader(self, cause: str) -> None:
-        """Watch the store for a while."""
+        """Stop following the reader, and watch the store for `direct_s` seconds."""
         self.close()
         self._metrics.add_relay_loss()
         name = self._reader.name if self._reader is not None else ""
-        self._log.event("relay", "Lost its reader; watches the store.", reader=name, cause=cause)
+        self._log.event("relay", "Lost the reader; watches the store.", reader=name, cause=cause)
         self._direct_until = _now() + self.settings.direct_s
 
     async def _watch(self, revision: int) -> Update:
-        """Watch the store; as a reader, so that each return is a proof to others."""
+        """Watch the store; a reader waits shorter, as each return proves its state to followers."""
         wait_s = WATCH_S
         if self._is_reader:
             wait_s = self.settings.find_watch_s(is_after_changes=self._had_changes)
         elif self._reader is not None:
-            # It ends in time to follow a reader again.
+            # Returns in time to follow a reader again.
             wait_s = self.settings.direct_s
         if not self.has_contact:
-            # It ends in time to look for a substitute again.
+            # Returns in time to look for a substitute again.
             wait_s = min(wait_s, self.settings.direct_s)
         if not self._is_resumed:
             wait_s = min(wait_s, self.settings.resume_s)
@@ -225,12 +224,12 @@
         return Update(events, proven_at)
 
     async def _watch_in_contact(self, revision: int, wait_s: float) -> Events:
-        """Watch the store until contact with it is lost: a cut leaves a watch without an end.
+        """Watch the store until contact is lost: a watch over a cut link would never return.
 
         Raises
         ------
         ContactLostError
-            Where contact is lost.
+            If contact with the store is lost meanwhile.
         """
         had_contact = self.has_contact
         watch = asyncio.ensure_future(self._store.watch("", after=revision, wait_s=wait_s))
@@ -244,7 +243,7 @@
             watch.cancel()
 
     async def _poll(self, revision: int) -> Update:
-        """Ask the reader once."""
+        """Poll the reader once for changes after a revision."""
         assert self._reader is not None and self._reader.relay is not None
         if self._client is None:
             self._client = self._open_client(self._reader.relay)
@@ -267,12 +266,12 @@
     async def fetch_whole(
         self, wanted: WantedEra, members: Iterable[MemberRecord] | None = None
     ) -> Whole | None:
-        """Ask a reader for all records; None where there is none, or it can't give them.
+        """Fetch all records from a reader; None where no reader exists or it can't send them.
 
         Parameters
         ----------
         members : iterable of MemberRecord, optional
-            The entries that are there, where the catalog does not know them yet.
+            The registered entries, where the catalog does not hold them yet.
         """
         known = self._catalog.members.values() if members is None else members
         readers = choose_readers(known, self._own.hall, self.settings)
@@ -283,14 +282,14 @@
         try:
             timeout_s = self.settings.budget.handover_s
             if members is not None or wanted.left is not None:
-                # The reader may have to read this copy first.
+                # The reader may have to read this copy of the store first.
                 timeout_s += self.settings.handover_wait_s
             whole = await ask_for_whole(client, wanted, timeout_s=timeout_s)
             self._check_age(whole.proven_at)
         except ReaderLostError as exc:
             self._metrics.add_relay_loss()
             cause = str(exc)
-            self._log.event("relay", "Reads the store itself.", reader=reader.name, cause=cause)
+            self._log.event("relay", "Can't get the records.", reader=reader.name, cause=cause)
             self._direct_until = self._no_handover_until = _now() + self.settings.direct_s
             return None
         finally:
@@ -299,7 +298,7 @@
         self._metrics.add_relayed(count, age_s)
         self._log.event(
             "relay",
-            "Took all records over.",
+            "Received all records from a reader.",
             reader=reader.name,
             records=count,
             age_ms=round(age_s * 1000),
@@ -307,17 +306,15 @@
         return whole
 
     def _check_age(self, proven_at: float) -> None:
-        """Check that a reader's proof is new enough to rely on."""
+        """Raise where a reader's state is too old to rely on."""
         age_s = _now() - proven_at
         if age_s > self.settings.age_limit_s:
-            raise ReaderLostError(f"it proves nothing newer than {age_s:.2f} s")
-
-    # What followers are told
+            raise ReaderLostError(f"its state is {age_s:.2f} s old")
 
     def begin(self, whole: Whole) -> None:
-        """Go on from all that was read at once.
+        """Replace the records with those of a full read, and publish the difference to followers.
 
-        Followers get the difference; of another copy of the store, they have to ask for all.
+        If the records are of another copy of the store, followers have to fetch all of them.
         """
         difference = self._records.find_difference(whole)
         self._records.begin(whole)
@@ -331,7 +328,7 @@
         self._publish(Batch(whole.revision, whole.revision, []))
 
     def take(self, after: int, update: Update) -> None:
-        """Keep an update that was applied, and tell it to followers that wait."""
+        """Record an update that was applied, and publish it to the followers that wait."""
         events = update.events
         self._had_changes = bool(events.items)
         self._proven_at = max(self._proven_at, update.proven_at)
@@ -339,13 +336,13 @@
         self._publish(update.to_batch(after))
 
     def _publish(self, batch: Batch[StoredItem]) -> None:
-        """Keep a batch, and wake the followers that wait for news or a proof."""
+        """Add a batch to the history, and wake the polls that wait for an update."""
         self._history.add(batch)
         self._has_news.set()
         self._has_news = asyncio.Event()
 
     async def answer(self, caller: CallerConnection, head: Head) -> None:
-        """Answer a follower's poll, or its question for everything."""
+        """Answer a follower's poll for changes, or its request for all records."""
         target = head.target.decode("latin-1")
         if target.startswith(RECORDS_PATH):
             await self._hand_over(caller, target)
@@ -364,7 +361,7 @@
         now = _now()
         held_s, contact = now - head.received_at, self._catalog.contact.get_report(now)
         if poll.era != self._records.era or batch is None:
-            # Revisions of another copy of the store can't be compared with ours.
+            # Revisions of two copies of the store can't be compared.
             status = OTHER_ERA if poll.era != self._records.era else 503
             body = msgspec.msgpack.encode(NoChanges(held_s, contact))
             caller.send(Answer(status, [], body))
@@ -380,7 +377,7 @@
         caller.send(Answer(200, [], msgspec.msgpack.encode(changes)))
 
     async def _hand_over(self, caller: CallerConnection, target: str) -> None:
-        """Answer all records, once they are of the copy of the store that is asked for."""
+        """Send all records, once they are of the copy of the store that is asked for."""
         wanted = parse_wanted_era(target)
         if wanted is None:
             self._metrics.add_bad_poll()
@@ -397,12 +394,12 @@
         caller.send(Answer(200, [], body))
 
     async def _wait_for_news(self, wait_s: float) -> None:
-        """Wait for the next update, with or without changes."""
+        """Wait for the next update, with or without changes, up to a limit."""
         try:
             async with asyncio.timeout(min(wait_s, self.settings.age_limit_s)):
                 await self._has_news.wait()
         except TimeoutError:
-            return  # The follower judges by the age of the proof.
+            return  # The answer carries the state's age, which the follower checks.
 
     def close(self) -> None:
         """Close the connections to other entries."""
--- a/halldoor/gateway/runner.py
+++ b/halldoor/gateway/runner.py
@@ -1,4 +1,4 @@
-"""Run a gateway until a signal asks it to stop, and take up changed settings meanwhile."""
+"""Runs a gateway until a signal stops it, and applies changed settings meanwhile."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from halldoor.gateway.settings import GatewaySettings
 
 CHECK_S = 1.0
-"""Period of looking whether the settings file changed without a signal, in seconds."""
+"""Period of checking whether the settings file changed without a signal, in seconds."""
 
 
 class SettingsFile:
-    """The file that a gateway's settings came from.
+    """File with a gateway's settings.
 
     Parameters
     ----------
     path : Path
-        The file.
+        Path of the file.
     load : callable
-        Reads and checks it; raises `HalldoorError` or `OSError`.
+        Reads and checks the file; raises `HalldoorError` or `OSError`.
     """
 
     def __init__(self, path: Path, load: Callable[[], GatewaySettings]) -> None:
@@ -32,11 +32,11 @@
         self._seen_at = self._read_time()
 
     def _read_time(self) -> int | None:
-        """Return the file's time of change; None while it is missing."""
+        """Return the file's modification time in ns; None while it is missing."""
         try:
             return self._path.stat().st_mtime_ns
         except FileNotFoundError:
-            return None  # It may be being replaced; the next look sees the new one.
+            return None  # It may be being replaced; the next check finds the new one.
 
     def has_changed(self) -> bool:
         """Check whether the file changed since the last call."""
@@ -65,7 +65,7 @@
 async def _follow_settings(
     gateway: Gateway, file: SettingsFile, should_reload: asyncio.Event
 ) -> None:
-    """Take the settings up on SIGHUP, and when the file changes without one."""
+    """Reload the settings on SIGHUP, and when the file changes without a signal."""
     while True:
         try:
             async with asyncio.timeout(CHECK_S):
@@ -79,4 +79,8 @@
         try:
             gateway.reload(file.load())
         except (HalldoorError, OSError) as exc:
-            gateway.log.event("process", "Can't reload; its settings stay.", cause=str(exc))
+            gateway.log.event(
+                "process",
+                "Can't reload the settings; the previous ones stay in force.",
+                cause=str(exc),
+            )
--- a/halldoor/gateway/settings.py
+++ b/halldoor/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway, and which of them a running process takes up."""
+"""Settings of a gateway, and which of them a running process applies when they change."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     "access",
     "quarantine",
 )
-"""Settings that a running process takes up; addresses and names need a restart."""
+"""Settings that a running process applies; addresses and names need a restart."""
 
 
 POLICY_SECTIONS = (
@@ -52,11 +52,11 @@
     Attributes
     ----------
     front, ready, directory : Address
-        Where it serves callers, readiness questions and look-ups.
+        Addresses that serve callers, readiness checks and look-ups.
     metrics : Address or None
-        Where it serves its own figures.
+        Address that serves its metrics; None: it does not serve them.
     relay : Address or None
-        Where it passes changes of the store on to other entries; None: it does not.
+        Address for messages between entries and for relaying changes; None: not used.
     regions : dict of str to str
         Region of each hall.
     lookup_ttl_s : float
@@ -64,7 +64,7 @@
     batch_s : float
         Pause between a change in the store and the next watch, in seconds.
     grace_s : float
-        Time between the request to stop and the kill, in seconds.
+        Time from the request to stop until the process is killed, in seconds.
     """
 
     name: str
@@ -90,19 +90,19 @@
     quarantine: QuarantineSettings = QuarantineSettings()
 
     def use_policy(self, policy: Mapping[str, Any], *, origin: str) -> GatewaySettings:
-        """Give these settings with those of a policy file in their place.
+        """Return these settings with those of a policy file applied.
 
         Parameters
         ----------
         policy : mapping
-            Settings by section, as the file gave them.
+            Settings by section, as read from the file.
         origin : str
-            File name for messages.
+            File name for error messages.
 
         Raises
         ------
         SettingsError
-            Where a section or setting is not known, or of another type.
+            If a section or setting is unknown, or has a wrong type.
         """
         checked = parse(policy, dict[str, dict[str, Any]], origin=origin)
         sections: dict[str, Any] = {}
@@ -118,12 +118,12 @@
         return self._replace(**sections)
 
     def find_changes(self, other: GatewaySettings) -> list[str]:
-        """Name the settings that differ in another set of them."""
+        """Return the names of the settings that differ from other settings."""
         return [n for n in self._fields if getattr(self, n) != getattr(other, n)]
 
 
 def _check_name(name: str, known: Iterable[str], *, origin: str) -> None:
-    """Raise where a name is not among those known."""
+    """Raise `SettingsError` if a name is not among the known ones."""
     if name not in known:
         names = ", ".join(sorted(known))
         raise SettingsError(f"{origin}: {name!r} is not known.", remedy=f"Known are: {names}.")
--- a/halldoor/gateway/sharing.py
+++ b/halldoor/gateway/sharing.py
@@ -1,4 +1,4 @@
-"""Share with the entries of the hall what this one learns of targets."""
+"""Shares observations of targets with other entries of the hall."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class ObservationSharing:
-    """The task that tells others, and takes what they tell.
+    """Task that sends observations to peers, and applies theirs.
 
     Parameters
     ----------
     own : MemberRecord
         This entry.
     catalog : Catalog
-        Who else is there.
+        Lists the other entries.
     feedback : TargetFeedback
-        Learns from observations, and makes them.
+        Creates this entry's observations, and applies those of others.
     """
 
     def __init__(
@@ -47,12 +47,12 @@
             port.receive(MessageKind.OBSERVATIONS, list[Observation], self._take)
 
     def add(self, observation: Observation) -> None:
-        """Keep an observation for the next message; what is too much for it is dropped."""
+        """Queue an observation for the next message; drop it where the message is full."""
         if len(self._waiting) < self._settings.most:
             self._waiting.append(observation)
 
     async def run(self) -> None:
-        """Tell the peers, in each period in which there is something to tell."""
+        """Send the queued observations to the peers once in each period, until cancelled."""
         while True:
             await asyncio.sleep(self._settings.period_s)
             observations, self._waiting = self._waiting, []
@@ -60,7 +60,7 @@
                 self._port.send(MessageKind.OBSERVATIONS, observations, *self._get_peers())
 
     def _get_peers(self) -> list[Address | None]:
-        """Return the addresses of the peers."""
+        """Return the peers' addresses, updated when entries come or go."""
         if self._members_version != self._catalog.members_version:
             self._members_version = self._catalog.members_version
             members = self._catalog.members.values()
@@ -69,7 +69,7 @@
         return self._peers
 
     def _take(self, observations: list[Observation], sender: Address) -> None:
-        """Learn from what another entry saw."""
+        """Apply the observations of another entry."""
         now = asyncio.get_running_loop().time()
         for observation in observations:
             self._feedback.add_observation(observation, now)
--- a/halldoor/gateway/store.py
+++ b/halldoor/gateway/store.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of the metadata store, and of the records in it."""
+"""Interfaces of the metadata store and of the codec for its records."""
 
 from __future__ import annotations
 
@@ -11,31 +11,33 @@
 
 
 class StoreError(HalldoorError):
-    """The store refused, answered rubbish or can't be reached."""
+    """The store refused a call, sent an invalid answer or can't be reached."""
 
 
 class HistoryGoneError(StoreError):
-    """The store no longer has the history that a watch would need."""
+    """The store no longer has the history from the revision of a watch on."""
 
 
 class LeaseGoneError(StoreError):
-    """The lease is over."""
+    """The lease has expired, was ended or belongs to another era of the store."""
 
 
 class StoredItem(NamedTuple):
-    """A key and its value; None where the key was removed."""
+    """A key and its value; the value is None where the key was removed."""
 
     key: str
     value: bytes | None
 
 
 class Page(NamedTuple):
-    """Part of a range.
+    """Some of the items of a range.
 
     Attributes
     ----------
     revision : int
         Revision of the store when the page was read.
+    has_more : bool
+        Whether the range goes on after the page.
     """
 
     items: Sequence[StoredItem]
@@ -44,72 +46,72 @@
 
 
 class Events(NamedTuple):
-    """What a watch brought, and the revision to go on from."""
+    """Changes that a watch returned, and the revision at which to continue."""
 
     items: Sequence[StoredItem]
     revision: int
 
 
 class Lease(NamedTuple):
-    """A lease and its lifetime, in seconds."""
+    """Name of a lease, and its lifetime in seconds."""
 
     name: str
     ttl_s: float
 
 
 class MetadataStore(ABC):
-    """The platform's store: keys with leases, ranges, and watches from a revision.
+    """Key-value store with leases, range reads, and watches from a revision.
 
-    Every method raises `StoreError` where the store can't be reached in time, refuses, or
-    answers rubbish.  A write that raised may have been done, or may be done later.
+    Every method raises `StoreError` if the store can't be reached in time, refuses the call, or
+    sends an invalid answer.  A write that raised may have been applied, or may be applied later.
 
     Attributes
     ----------
     era : str
-        Tells the store's present state from the one before it was last restored from a copy, as
-        its newest answer said; empty where it does not say.  Revisions and leases of another era
-        mean nothing.
+        Identifies the copy of the store that sent the newest answer; it changes when the store is
+        restored from a copy, and is empty where the store doesn't send it.  Revisions and leases
+        of another era are invalid.
     """
 
     era: str = ""
 
     @abstractmethod
     async def read_range(self, prefix: str, *, after: str = "") -> Page:
-        """Read the keys with a prefix that come after a key."""
+        """Read a page of the keys with a prefix, starting after the key `after`."""
 
     @abstractmethod
     async def watch(self, prefix: str, *, after: int, wait_s: float) -> Events:
-        """Wait for changes after a revision.
+        """Wait up to `wait_s` seconds for changes after a revision to keys with a prefix.
 
         Raises
         ------
         HistoryGoneError
-            Where the store no longer has that history.
+            If the store no longer has the history from that revision on.
         """
 
     @abstractmethod
     async def write(self, key: str, value: bytes, *, lease: str) -> None:
-        """Write a key that goes with a lease.
+        """Write a key that is removed when its lease ends.
 
         Raises
         ------
         LeaseGoneError
-            Where there is no such lease.
+            If the lease does not exist.
         """
 
     @abstractmethod
     async def claim(self, key: str, *, lease: str) -> bool:
-        """Write a key that goes with a lease unless it is there; False where it is.
+        """Write a key under a lease if it does not exist; return False if it does.
 
         Raises
         ------
         LeaseGoneError
-            Where there is no such lease.
+            If the lease does not exist.
         """
 
     @abstractmethod
     async def create_lease(self, ttl_s: float) -> Lease:
-        """Create a lease."""
+        """Create a lease that expires unless it is renewed within `ttl_s` seconds."""
 
     @abstractmethod
     async def renew_lease(self, lease: str) -> None:
@@ -118,25 +120,25 @@
         Raises
         ------
         LeaseGoneError
-            Where it is over.
+            If the lease has expired or was ended.
         """
 
     @abstractmethod
     async def end_lease(self, lease: str) -> None:
-        """End a lease; its keys go with it."""
+        """End a lease, which removes its keys."""
 
 
 class RecordCodec(ABC):
-    """Where the records stand in the store, and how they are written."""
+    """Mapping between records and the store's keys and values."""
 
     @abstractmethod
     def decode(self, item: StoredItem) -> Change | None:
-        """Decode a record; None for a key that means nothing here.
+        """Decode an item to a change; return None for a key that the gateway does not use.
 
         Raises
         ------
         StoreError
-            Where the record can't be read.
+            If the value can't be decoded.
         """
 
     @abstractmethod
--- a/halldoor/gateway/storenotices.py
+++ b/halldoor/gateway/storenotices.py
@@ -1,7 +1,8 @@
-"""Notify other entries of changes of the store that bear a bound, and apply their notices.
+"""Notifies other entries of urgent changes in the store, and applies their notices.
 
-A second way for news beside the entry's own watch: whichever comes first counts, so that an entry
-that pauses, reads all again or follows a slow reader acts as soon as others know.
+Urgent are changes that must take effect within a time bound: withdrawn targets, configurations and
+evacuations.  Notices are a second path beside the entry's own watch, so that an entry that pauses,
+reads all records again or follows a slow reader acts as soon as others have seen the change.
 """
 
 from __future__ import annotations
@@ -38,13 +39,14 @@
 ROUNDS = 2
 """Times that a notice is sent."""
 BEHIND_S = 0.5
-"""Time after which an entry that is still behind others opens another watch, in seconds."""
+"""Time that an entry may lag behind others before it opens another watch, in seconds."""
 PAUSED_S = 2.0
-"""The same after a withdrawal, which ends no pause, in seconds: above a pause and a call."""
+"""The same limit after a withdrawal, in seconds; it exceeds a pause between watches plus a call,
+since a withdrawal does not end that pause."""
 PATIENCE_MOST = 8.0
-"""Factor of both at most; it doubles with each watch that was opened in vain."""
+"""Largest factor on both limits; the factor doubles each time that the limit passes."""
 CHECK_S = 1.0
-"""Period of looking for notices that no longer hold, in seconds."""
+"""Period of checking for withdrawals that no longer hold, in seconds."""
 
 
 class _Pending(NamedTuple):
@@ -53,11 +55,11 @@
     Attributes
     ----------
     learned_at : float
-        When an entry first applied the change.
+        When the first entry applied the change, on the loop's clock.
     due_at : float
-        When it is sent next.
+        When it is sent next, on the loop's clock.
     left : int
-        Times that it is still to be sent.
+        Number of times that it is still to be sent.
     """
 
     view: StoreView
@@ -67,22 +69,22 @@
 
 
 class StoreNoticeExchange:
-    """The task that notifies other entries of what the store says, and applies their notices.
+    """Task that notifies other entries of urgent changes in the store, and applies their notices.
 
     Parameters
     ----------
     own : MemberRecord
         This entry.
     catalog : Catalog
-        Targets and other entries.
+        Holds the targets and the other entries.
     port : DatagramPort
         The socket for messages of other entries.
     get_view : callable
-        Returns how far this entry has followed the store.
+        Returns the view of the store up to which this entry applied changes.
     hurry : callable
-        Ends the pause before the next watch.
+        Called to end the pause before the next watch.
     renew_watch : callable
-        Opens another watch, for the cause given.
+        Called with a cause to open another watch.
     """
 
     def __init__(
@@ -114,20 +116,18 @@
         self._patience = 1.0
         port.receive(MessageKind.STORE_NEWS, list[StoreNotice], self._receive)
 
-    # The own view of the store
-
     def note_update(self, changes: Sequence[Change], view: StoreView) -> None:
-        """Record that an update of the store was applied, and announce what bears a bound.
+        """Queue notices of the urgent changes in an update that was applied.
 
         Parameters
         ----------
         view : StoreView
-            What the changes are of; part of a reading may be ahead of the own view.
+            View that contains the changes; that of a single page may be ahead of the own view.
         """
         now = _now()
         self._release(now)
         if not self._has_read:
-            # Others know at least as much as an entry that starts.
+            # Other entries already hold all that an entry reads when it starts.
             self._has_read, self._newest = True, view
             return
         for start in self._catalog.take_withdrawn():
@@ -138,19 +138,17 @@
             self._add(None, view, learned_at=now)
 
     def _release(self, now: float) -> None:
-        """Drop notices that no longer hold."""
+        """Return withdrawn targets to use where the withdrawal no longer holds."""
         for start in self._catalog.release_withdrawn(self._get_view(), now):
-            self._log.event("targets", "Not withdrawn after all.", target=start.target)
+            self._log.event("targets", "Withdrawal revoked.", target=start.target)
 
     def _add(self, start: TargetStart | None, view: StoreView, *, learned_at: float) -> None:
-        """Send a notice with the next messages."""
+        """Queue a notice for the next messages; without a target it is of a configuration."""
         self._pending[start] = _Pending(view, learned_at, due_at=learned_at)
         self._wake.set()
 
-    # Sending
-
     async def run(self) -> None:
-        """Send notices until cancelled."""
+        """Send the queued notices until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(CHECK_S):
@@ -164,7 +162,7 @@
             await asyncio.sleep(PERIOD_S)
 
     def _send_due(self, now: float) -> None:
-        """Send what is due."""
+        """Send the notices that are due."""
         due = {start: p for start, p in self._pending.items() if p.due_at <= now}
         if not due:
             return
@@ -179,17 +177,15 @@
         for notice in _build_notices(due, self._get_view(), now):
             self._port.send(MessageKind.STORE_NEWS, [notice], *peers)
 
-    # Receiving
-
     def _receive(self, notices: list[StoreNotice], sender: Address) -> None:
-        """Apply the notices of another entry, and pass on what is news."""
+        """Apply the notices of another entry, and relay those that are new here."""
         now = _now()
         for notice in notices:
             if notice.is_valid and not notice.view.is_outdated_by(self._get_view()):
                 self._apply(notice, now, source=str(sender))
 
     def _apply(self, notice: StoreNotice, now: float, *, source: str) -> None:
-        """Apply one notice."""
+        """Apply a notice that is ahead of the own view, and check later that the view caught up."""
         own, view = self._get_view(), notice.view
         if own.has_reached(view):
             return
@@ -208,7 +204,7 @@
         if not own.is_behind(view):
             return
         if notice.withdrawn:
-            # What it says holds from now on; the store's own word may wait for the next slot.
+            # The withdrawal is in force already; the next watch may wait for the pause to end.
             self._watch_lag(view, PAUSED_S)
             return
         self._hurry()
@@ -218,7 +214,7 @@
             self._add(None, view, learned_at=now - notice.age_s)
 
     def _watch_lag(self, view: StoreView, limit_s: float) -> None:
-        """Open another watch if the present one does not bring a view in time, in seconds."""
+        """Schedule a check, in about `limit_s` seconds, that the own view reached another one."""
         loop = asyncio.get_running_loop()
         due_at = loop.time() + limit_s * self._patience
         if self._check is not None:
@@ -230,7 +226,7 @@
     def _check_lag(self, view: StoreView) -> None:
         """Open another watch if the own view is still behind.
 
-        A slow store answers each watch late: one that is given up each time brings nothing.
+        Each time the limit grows: a slow store never answers watches that are cancelled too early.
         """
         self._check = None
         own = self._get_view()
@@ -249,14 +245,14 @@
     """Build the messages for what is due, one for each view of the store."""
     by_view: dict[StoreView, list[TargetStart | None]] = {}
     for start, pending in due.items():
-        # What the own view includes is told as of now, so that most fit one message.
+        # Changes that the own view contains share that view, so that most fit one message.
         view = own if own.has_reached(pending.view) else pending.view
         by_view.setdefault(view, []).append(start)
     for view, starts in by_view.items():
         age_s = max(now - due[start].learned_at for start in starts)
         targets = [start for start in starts if start is not None]
         if len(targets) < len(starts):
-            # By itself: no receiver can apply it, so that each reads the store at once.
+            # A separate notice: receivers can't apply a configuration, so each reads the store now.
             yield StoreNotice(view, age_s, [])
         for first in range(0, len(targets), WITHDRAWN_MOST):
             yield StoreNotice(view, age_s, targets[first : first + WITHDRAWN_MOST])
--- a/halldoor/gateway/substitute.py
+++ b/halldoor/gateway/substitute.py
@@ -1,7 +1,7 @@
-"""Read changes from any entry that is in contact with the store, while this one is not.
+"""Reads changes from any entry that is in contact with the store, while this one is not.
 
-Changes come in the store's order and by its revisions, so that they can be applied whatever their
-age; as proofs of age they count for nothing more than they say.
+Changes arrive in the order of the store's revisions, so they can be applied at any age.  They prove
+the age of this entry's state only up to the moment that the answer states.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 WAIT_S = 1.0
 """Time for which a poll waits for changes, in seconds."""
 CANDIDATES = 4
-"""Entries that are asked at once, of which the first to answer is followed."""
+"""Entries that are polled in parallel; the first to answer is followed."""
 ROUNDS = 3
-"""Times that others are asked before the store is tried again: all of a small fleet, and enough of
-a large one to find an entry in contact unless hardly any is."""
+"""Groups of candidates polled before the store is tried again: all of a small fleet, and enough of
+a large one to find an entry in contact unless very few are."""
 
 
 class SubstituteReader:
-    """Follow one entry of any hall.
+    """Follower of one entry of any hall, in place of the store.
 
     Parameters
     ----------
     own : MemberRecord
         This entry.
     catalog : Catalog
-        Who else is there.
+        Lists the other entries.
     open_client : callable
         Opens a client of another entry.
     """
@@ -63,19 +63,19 @@
         self._random = random.Random()
 
     async def poll(self, revision: int, era: str) -> Update | None:
-        """Return the changes after a revision; None where no entry has any contact."""
+        """Return the changes after a revision; None where no entry in contact was found."""
         if self._client is None:
             return await self._find(revision, era)
         try:
             return await self._ask(self._client, Poll(revision, WAIT_S, era, needs_contact=True))
         except (ReaderLostError, OtherEraError) as exc:
             self._metrics.add_relay_loss()
-            self._log.event("relay", "Lost its substitute.", reader=self._name, cause=repr(exc))
+            self._log.event("relay", "Lost the substitute.", reader=self._name, cause=repr(exc))
             self.close()
             return None
 
     async def _find(self, revision: int, era: str) -> Update | None:
-        """Ask other entries, a few at once, and follow the first that answers."""
+        """Poll other entries, `CANDIDATES` at a time, and follow the first that answers."""
         members = [
             member
             for member in self._catalog.members.values()
@@ -90,7 +90,7 @@
         return None
 
     async def _ask_all(self, candidates: list[MemberRecord], poll: Poll) -> Update | None:
-        """Ask some entries at once, and follow the first that answers."""
+        """Poll some entries in parallel, and follow the first that answers."""
         asking = [asyncio.ensure_future(self._try(member, poll)) for member in candidates]
         try:
             for answer in asyncio.as_completed(asking):
@@ -103,7 +103,7 @@
         return None
 
     async def _try(self, member: MemberRecord, poll: Poll) -> Update | None:
-        """Ask one entry; it is followed if it is the first to answer."""
+        """Poll one entry, and follow it if no other answered before."""
         assert member.relay is not None
         client = self._open_client(member.relay)
         try:
@@ -122,7 +122,7 @@
         return update
 
     async def _ask(self, client: HttpClient, poll: Poll) -> Update:
-        """Send one poll."""
+        """Send one poll, and return its answer as an update of a substitute."""
         sent_at = asyncio.get_running_loop().time()
         update = await send_poll(
             client,
@@ -136,7 +136,7 @@
         return update._replace(is_substitute=True)
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop following the substitute."""
         if self._client is not None:
             self._client.close()
             self._client = None
--- a/halldoor/gateway/sync.py
+++ b/halldoor/gateway/sync.py
@@ -1,4 +1,4 @@
-"""Keep the catalog in step with the store: read it once, then watch."""
+"""Keeps the catalog in step with the store: reads all records once, then watches for changes."""
 
 from __future__ import annotations
 
@@ -37,34 +37,34 @@
 BATCH_S = 0.6
 """Usual pause between an event and the next watch, in seconds.
 
-Each watch that returns is a priced call; several changes within the pause cost one.
+The store charges for each watch that returns; several changes within the pause cost one.
 """
 
 WITHDRAWALS_LOGGED = 100
-"""Draining or missing targets of a whole reading that are logged each; the rest is counted."""
+"""Draining or removed targets that are logged one by one after a full read; others are counted."""
 
 UpdateReceiver = Callable[[Sequence[Change], StoreView], None]
 
 
 class StoreSync:
-    """The task that reads the store.
+    """Task that applies the store's records and changes to the catalog.
 
     Parameters
     ----------
     store, codec
-        The store and the meaning of its records.
+        The store, and the decoder of its records.
     catalog : Catalog
-        Where changes are applied.
+        Receives the changes.
     on_change : callable
         Called with each change that was applied.
     feed : ChangeFeed
-        Brings the changes once everything is read.
+        Fetches the changes once all records are read.
 
     Attributes
     ----------
     on_update : list of callable
-        Called with the changes of each update, once they are applied, and the view of the store
-        that they are of.
+        Called after each update with the changes that were applied and the view of the store that
+        contains them.
     """
 
     def __init__(
@@ -98,16 +98,16 @@
 
     @property
     def era_number(self) -> int:
-        """Number of the copy of the store that is believed; -1 where it has none."""
+        """Number of the copy of the store in use; -1 where its era is not a number."""
         return int(self._era) if self._era.isdecimal() else -1
 
     @property
     def view(self) -> StoreView:
-        """How far the store was followed."""
+        """Era and revision of the store up to which changes are applied."""
         return StoreView(self._era, self._last_revision)
 
     async def run(self) -> None:
-        """Read and watch until cancelled."""
+        """Read the store and watch it until cancelled."""
         while True:
             try:
                 if self._era != self._store.era:
@@ -127,42 +127,42 @@
             except OtherEraError:
                 await self._follow_era()
             except ContactLostError:
-                # A suspension looks like this too, so that what is being confirmed still has to be.
+                # A suspension of the process looks the same, so `is_confirming` stays as it is.
                 self._note_lost("no answer")
             except StoreError as exc:
                 self._note_away(exc)
                 await asyncio.sleep(self._backoff.find_pause_s())
 
     def restart(self, cause: str) -> None:
-        """Ask the store anew: what the present watch would bring may be lost or late."""
+        """Record that contact is lost and open another watch: the current one may get no answer."""
         self._is_away = True
         self.renew_watch(cause)
 
     def renew_watch(self, cause: str) -> None:
-        """Open another watch in place of the present one, which brings nothing."""
-        self._log.event("store", "Watching anew.", cause=cause)
+        """Cancel the current watch, which returns no changes, and open another one."""
+        self._log.event("store", "Opens another watch.", cause=cause)
         if self._watching is not None:
             self._watching.cancel()
 
     def confirm(self, cause: str) -> None:
-        """Read the store anew, and let nobody rely on what is known until it was asked."""
+        """Mark the cached state as unconfirmed, and read all records of the store again."""
         self.is_confirming = True
         self._revision = None
         self._reader.clear()
         self.restart(cause)
 
     async def _follow_era(self) -> None:
-        """Take the copy of the store that the reader knows, or leave the reader."""
-        self._log.event("store", "Its reader knows another copy of the store.")
+        """Switch to the copy of the store that the reader follows, or stop following the reader."""
+        self._log.event("store", "The reader follows another copy of the store.")
         whole = await self._feed.fetch_whole(WantedEra(self._store.era, self._era))
         if whole is not None:
             self._adopt(whole)
         else:
-            # The store itself says which of the two is right; all is read only if it is the other.
+            # The store decides which copy is current; a full read follows only if it is the other.
             self._feed.leave_reader("it knows another copy of the store")
 
     def _adopt(self, whole: Whole) -> None:
-        """Apply all records."""
+        """Replace the catalog's state with all records of the store."""
         before = self._era
         is_restored = self.is_loaded.is_set() and before != whole.era
         now = self._note_contact(whole.proven_at)
@@ -183,9 +183,9 @@
         self._announce(applied, StoreView(whole.era, max(whole.revision, whole.newest)))
 
     def _log_reading(self, applied: Sequence[Change], revision: int) -> None:
-        """Write what a whole reading changed that explains later requests.
+        """Log the changes of a full read that explain later routing: configurations, withdrawals.
 
-        Not every target: all of them are new to an entry that starts.
+        Targets that were added are not logged: all are new to an entry that starts.
         """
         for change in applied:
             if isinstance(change, RoutingSeen):
@@ -193,7 +193,7 @@
         self._log_withdrawals([c for c in applied if is_target_withdrawal(c)], revision)
 
     def _log_withdrawals(self, withdrawn: Sequence[Change], revision: int) -> None:
-        """Write what a reading took out of use, up to a limit."""
+        """Log the targets that a read took out of use, up to `WITHDRAWALS_LOGGED` of them."""
         for change in withdrawn[:WITHDRAWALS_LOGGED]:
             self._log_change(change, revision)
         if len(withdrawn) > WITHDRAWALS_LOGGED:
@@ -201,10 +201,10 @@
             self._log.event("targets", "More drain or are gone.", count=left, revision=revision)
 
     async def _read_whole(self) -> Whole:
-        """Read everything: from an entry that is in step, or page by page from the store.
+        """Read all records: from an entry that follows the store, or page by page from the store.
 
-        The first page of one that starts names the entries of its hall.  Whoever stood still asks
-        the store itself.
+        For an entry that starts, the first page lists the entries of its hall.  After a suspension
+        an entry reads the store itself, since another entry's state may be old as well.
         """
         if self.is_loaded.is_set() and not self.is_confirming and not self._reader.has_pages:
             left = self._era if self._era != self._store.era else None
@@ -222,14 +222,14 @@
         return await self._reader.read_rest()
 
     def _is_ahead_of(self, whole: Whole) -> bool:
-        """Check whether this entry applied changes that records of its reader lack."""
+        """Check whether this entry applied changes that the records of its reader lack."""
         return whole.era == self._era and whole.revision < self._last_revision
 
     def _apply_withdrawals(self, page: Page, era: str) -> None:
-        """Apply what takes something out of use, before the other pages are read.
+        """Apply the withdrawals of a page before the other pages are read.
 
-        What a page does not name may be on another one, as may the targets of a newer
-        configuration; a page of another copy of the store may say what no longer holds.
+        Only withdrawals: records missing from this page, or targets of a newer configuration, may
+        be on another page.  A page of another copy of the store may be outdated and is skipped.
         """
         self._backoff.reset()
         now = asyncio.get_running_loop().time()
@@ -263,7 +263,7 @@
         if not update.is_relayed:
             self._catalog.contact.note_answer(asyncio.get_running_loop().time())
         if self._store.era != self._era or self._revision is None:
-            return  # What was asked for has another meaning now, or is not to be relied on.
+            return  # The revision belongs to another copy, or a full read was requested.
         events = update.events
         if update.is_substitute:
             now = self._note_substitute(update)
@@ -276,7 +276,7 @@
                 applied.append(change)
                 self._log_change(change, events.revision)
                 self._on_change(change)
-        # The store's own answer holds all that lapsed before its return, whenever it was asked.
+        # The store's own answer includes all removals up to its return, whenever it was sent.
         self._catalog.contact.note_known(update.proven_at if update.is_relayed else now)
         self._revision = self._last_revision = events.revision
         self._feed.take(revision, update)
@@ -284,34 +284,34 @@
         await self._feed.pause()
 
     def _announce(self, changes: Sequence[Change], view: StoreView) -> None:
-        """Notify whoever follows the updates."""
+        """Call the receivers of updates."""
         for note_update in self.on_update:
             note_update(changes, view)
 
     def _decode(self, item: StoredItem) -> Change | None:
-        """Decode a record; one that can't be read names nothing, as if it were not there.
+        """Decode a record; treat one that can't be decoded as removed.
 
-        So what is overwritten by another writer is not used until its own writer is back, the
-        configuration holds on, and all other records do.
+        So a record that another writer overwrote is not used until its owner writes it again; the
+        configuration in use and all other records stay in force.
         """
         try:
             return self._codec.decode(item)
         except StoreError as exc:
             self._metrics.add_unreadable_record()
-            self._log.event("store", "Can't read a record.", key=item.key, error=str(exc))
+            self._log.event("store", "Ignores a bad record.", key=item.key, error=str(exc))
             return self._codec.decode(StoredItem(item.key, None))
 
     def _note_contact(self, heard_at: float) -> float:
-        """Record the time of the last contact with the store, and return it."""
+        """Record contact with the store up to a moment, and return the time of the loop's clock."""
         now = asyncio.get_running_loop().time()
         self._catalog.note_contact(heard_at)
         if self._is_away:
-            self._log.event("store", "Back.", store_away_ms=self._away_ms)
+            self._log.event("store", "Contact is restored.", store_away_ms=self._away_ms)
         self._is_away = self.is_confirming = False
         return now
 
     def _note_substitute(self, update: Update) -> float:
-        """Record that another entry passed changes on; the store itself is still away."""
+        """Record that another entry relayed changes; the store itself is still out of reach."""
         now = asyncio.get_running_loop().time()
         self._catalog.note_contact(update.proven_at)
         self._catalog.note_relay(now)
@@ -319,12 +319,12 @@
 
     @property
     def _away_ms(self) -> int:
-        """How long the store was away since what is known, in milliseconds."""
+        """How long the store has been out of reach, as far as known here, in milliseconds."""
         now = asyncio.get_running_loop().time()
         return round(self._catalog.contact.find_absence(now).length_s * 1000)
 
     def _note_away(self, exc: StoreError) -> None:
-        """Record that the store did not answer: what is known has to do."""
+        """Record that the store did not answer; the cached state is used meanwhile."""
         self.is_confirming = False
         self._metrics.add_store_call("watch", "failed")
         self._note_lost(exc.message)
@@ -333,10 +333,10 @@
         """Record that contact with the store is lost."""
         if not self._is_away:
             self._is_away = True
-            self._log.event("store", "Lost.", cause=cause)
+            self._log.event("store", "Contact is lost.", cause=cause)
 
     def _log_era(self, before: str, whole: Whole) -> None:
-        """Write that the store was restored from a copy, and what its answers said."""
+        """Log that the store was restored from a copy, and its eras and revisions."""
         self._metrics.add_store_call("range", "restored")
         self._log.event(
             "store",
@@ -349,7 +349,7 @@
         )
 
     def _log_change(self, change: Change, revision: int) -> None:
-        """Write what is believed now, and the revision of the store that says so."""
+        """Log a change that was applied, with the revision of the store that contains it."""
         event = self._log.event
         match change:
             case RoutingSeen(routing):
@@ -395,7 +395,7 @@
 
 
 def find_era_problem(before: str, era: str) -> str:
-    """Return what is odd about the number of a copy; empty where it rose as it should."""
+    """Return why the era of a restored store is not as expected; empty where it rose."""
     if not era:
         return "the store no longer says which copy it is"
     if not era.isdecimal():
--- a/halldoor/gateway/tasks.py
+++ b/halldoor/gateway/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of a process that must not end."""
+"""Tasks that must run as long as their process does."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 
 class TaskSet:
-    """The tasks of a process; one that fails stops it, since it can't be trusted any more."""
+    """Tasks of a process; if one fails the event loop stops, as the state may be inconsistent."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, part: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task."""
+        """Start a task that runs until the process stops."""
         task = asyncio.get_running_loop().create_task(part)
         task.add_done_callback(self._note_end)
         self._tasks.append(task)
         return task
 
     def _note_end(self, task: asyncio.Task[None]) -> None:
-        """Log a task that failed, and stop the process."""
+        """Log a task that finished without being cancelled, and stop the event loop."""
         if task.cancelled():
             return
         self._log.event("process", "A task failed.", cause=repr(task.exception()))
         asyncio.get_running_loop().stop()
 
     async def stop(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they finish."""
         for task in self._tasks:
             await stop_task(task)
 
 
 async def stop_task(task: asyncio.Task[None]) -> None:
-    """Cancel a task and wait for its end."""
+    """Cancel a task and wait until it finishes."""
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
