--- a/halldoor/tests/background.py
+++ b/halldoor/tests/background.py
@@ -1,10 +1,10 @@
-"""Something that goes on in threads for the length of a block."""
+"""Runs work in threads while a ``with`` block is executed."""
 
 import threading
 
 
 class Background:
-    """Base: runs ``run`` once for each of ``items`` until the block ends."""
+    """Base class that calls `run` in one thread for each item; `run` ends when `is_over` is set."""
 
     def __init__(self, items):
         self.is_over = threading.Event()
--- a/halldoor/tests/ratekit.py
+++ b/halldoor/tests/ratekit.py
@@ -1,4 +1,4 @@
-"""Several gateways on one store, some of them cut off, and targets that count what they get."""
+"""Test fleet of gateways that share a store, with links that can be cut, and counting targets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StoreLink(MetadataStore):
-    """One gateway's way to the store, which can be cut."""
+    """One gateway's link to the store, which can be cut."""
 
     def __init__(self, store):
         self.store = store
@@ -61,7 +61,7 @@
 
 
 class SilentClient:
-    """A client of an entry that can't be reached."""
+    """Client of an unreachable entry: every call times out."""
 
     def __init__(self, address):
         pass
@@ -75,18 +75,20 @@
 
 
 class CountingTarget(ScriptedTarget):
-    """A target that notes when requests arrive, and says in health answers how long it is cold.
+    """Target that records arrivals, and states in health answers how long it is cold.
 
     Attributes
     ----------
     arrivals : list of tuple
         Time and sending entry of each request.
     extra : list of tuple of bytes
-        Further fields of its answers.
+        Additional header fields of its answers.
+    checks : int
+        Number of health checks.
     rejection : list of tuple of bytes or None
-        Further fields of the answers with which it turns every request away; None while it serves.
+        Additional header fields of the answers that reject every request; None while it serves.
     rejected : list of tuple
-        Time and sending entry of each request that it turned away.
+        Time and sending entry of each rejected request.
     """
 
     def __init__(self, name):
@@ -123,7 +125,7 @@
         writer.write(self.build(request, extra=list(self.extra)))
 
     def count_most(self, *, since, window_s):
-        """Return the most arrivals within any window from a time on."""
+        """Return the most arrivals in any window of `window_s` seconds after a time."""
         times = [at for at, _ in self.arrivals if at >= since]
         worst = first = 0
         for last, at in enumerate(times):
@@ -134,14 +136,14 @@
 
 
 class RateFleet:
-    """Gateways that share one store, targets and callers.
+    """Fleet of gateways that share a store, targets and callers.
 
     Attributes
     ----------
     statuses : list of tuple
-        When each request was answered, by which entry and how.
+        Time, entry and status of each answer.
     told : list of tuple
-        When a request was refused, and when its caller was told to come back, in seconds.
+        Time and Retry-After in seconds of each answer with status 503.
     """
 
     def __init__(self, *, entries, targets, seed=1, **service):
@@ -203,12 +205,12 @@
         kit.write_target(target.incarnation, **changes)
 
     def turn_cold(self, target, *, for_s):
-        """Let a target become cold, and say so in the store."""
+        """Make a target cold for some seconds, and write that to its record."""
         target.cold_until = self.now() + for_s
         self.write_target(target, cold_left_s=for_s)
 
     def cut(self, *entries, from_others=False):
-        """Cut entries off from the store, and from all other entries where that is asked for."""
+        """Cut entries off from the store, and with `from_others` from all other entries too."""
         for i in entries:
             self.links[i].is_cut = True
             if from_others:
@@ -221,7 +223,7 @@
         return asyncio.get_running_loop().time()
 
     async def ask(self, *, per_s, for_s, entries=None):
-        """Ask entries at random, each request with a key of its own."""
+        """Send requests with random keys to random entries, at a rate and for a time."""
         ends = self.now() + for_s
         while self.now() < ends:
             entry = self.random.choice(entries or range(self.entries))
@@ -241,6 +243,6 @@
                 self.told.append((self.now(), float(reply.find(b"retry-after"))))
 
     def find_served(self, entries, *, since):
-        """Return the part of the requests at some entries that were served from a time on."""
+        """Return the share of requests that some entries answered with 200 after a time."""
         statuses = [s for at, entry, s in self.statuses if entry in entries and at >= since]
         return statuses.count(200) / len(statuses)
--- a/halldoor/tests/test_examples.py
+++ b/halldoor/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Both of the users' deployments validate and run, whole."""
+"""The example deployments are valid, and run completely."""
 
 from pathlib import Path
 
@@ -28,7 +28,7 @@
 
 
 def load_on_free_ports(name):
-    """Load an example, with every address moved to a port that the kernel chose."""
+    """Load an example, with a free port in place of each configured one."""
     data = load_yaml(EXAMPLES / name)
     Configuration.from_data(data, origin=name)
     hosts = [e for h in data["halls"] for e in h["entries"]]
--- a/halldoor/tests/test_flooded_cold_target.py
+++ b/halldoor/tests/test_flooded_cold_target.py
@@ -1,4 +1,4 @@
-"""All entries together keep a cold target's rate, also those that the store can't reach."""
+"""All entries together keep to a cold target's rate, also entries cut off from the store."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from halldoor.tests.ratekit import RateFleet
 
 ALLOWED = 9.0 * 1.5 + 5.0
-"""Requests that a cold target may get in any second."""
+"""Largest number of requests that a cold target may get in any second."""
 SPREAD_S = 3.0
-"""Time for all entries to learn that a target turned cold, in seconds."""
+"""Time until all entries know that a target turned cold, in seconds."""
 
 
 @pytest.mark.parametrize("entries", [6, 10])
 @pytest.mark.parametrize("from_others", [False, True])
 def test_entries_without_store_contact_flood_a_cold_target(entries, from_others):
-    """Most entries can't read the record by which a target says that it is cold again."""
+    """Most entries can't read the record that says that the target is cold again."""
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("entries", [6, 10])
 def test_entries_without_store_contact_send_to_an_evacuated_hall(entries):
-    """They can't read that the hall is evacuated, and its targets turn cold before that ends."""
+    """They can't read that the hall is evacuated; its targets are cold when that is over."""
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
--- a/halldoor/tests/test_forged_notice.py
+++ b/halldoor/tests/test_forged_notice.py
@@ -1,4 +1,4 @@
-"""Notices that come from no entry of the fleet have no effect."""
+"""Notices that no registered entry sent have no effect: they could take targets out of use."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def send(kind, notices, *, to, source):
-    """Send a message from a socket of one's own."""
+    """Send a message from a socket that belongs to no entry."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as forger:
         forger.bind((source, 0))
         forger.sendto(bytes([kind]) + msgspec.msgpack.encode(notices), (to.ip, to.port))
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("kind", FORGED)
 @pytest.mark.parametrize("source", [IP, "127.0.0.1"])
 def test_a_process_that_is_no_entry_has_requests_refused(kind, source):
-    """It knows the targets' names, and an entry's address."""
+    """The sender knows the targets' names and an entry's address, but isn't registered."""
 
     async def check():
         async with RateFleet.open(entries=2, targets=8) as fleet:
@@ -54,7 +54,7 @@
 
 
 def test_an_entry_whose_record_lapsed_is_still_believed():
-    """It may be cut off from the store, and see what others don't."""
+    """It may be cut off from the store, and be the only one to see a target's statement."""
 
     async def check():
         async with RateFleet.open(entries=2, targets=3) as fleet:
--- a/halldoor/tests/test_gateway_program.py
+++ b/halldoor/tests/test_gateway_program.py
@@ -1,4 +1,4 @@
-"""``halldoor-gateway`` as a process, with its settings and routes from YAML."""
+"""The ``halldoor-gateway`` program, run as a process with settings and routes from YAML."""
 
 from __future__ import annotations
 
--- a/halldoor/tests/test_handover.py
+++ b/halldoor/tests/test_handover.py
@@ -1,10 +1,11 @@
-"""Records of the store that one entry hands to another.
+"""Transfer of all records of the store from one entry to another.
 
-Every entry read the whole store anew when it came back from a copy, and when it started: 150 pages
-at 75 entries and 450 targets, and 354 watches beside, where 50 are usual, for each follower left
-its reader for three seconds: the reader's answer that it knows another copy read like a failure.
+Every entry read all pages of the store when it was restored from a copy, and at its own start: 150
+pages at 75 entries and 450 targets.  With that came 354 watches where 50 are usual, as each
+follower left its reader for 3 s: it took the answer that the reader follows another copy for a
+failure.
 
-    entries, halls   what             ranges   watches
+    entries, halls   event            ranges   watches
     75, 6            store restored   150      354
     75, 6            all start again  150      134
 """
@@ -27,13 +28,13 @@
 from halldoor.standins.storefleet import StoreFleet
 
 IN_STEP_S = 5.0
-"""Time in which all entries must hold what the store holds, in seconds."""
+"""Time within which all entries must hold the store's records, in seconds."""
 RESTORED_S = 10.0
-"""The same after the store came back from a copy: what is not in it may be written again first."""
+"""The same limit after a restore: records that the copy lacks may be written again first."""
 HALLS = 2
 TARGETS = 60
 PAGES = 2
-"""Pages of the store that these and the entries fill."""
+"""Number of pages that the records of targets and entries fill."""
 
 
 @contextlib.asynccontextmanager
@@ -42,7 +43,7 @@
     fleet.configure(1)
     await fleet.start(within_s=0.5)
     await fleet.wait(1)
-    # Until those that lost their reader at the start follow one again.
+    # Until entries that lost their reader at the start follow one again.
     await asyncio.sleep(2 * fleet.settings.direct_s)
     try:
         yield fleet
@@ -51,7 +52,7 @@
 
 
 def list_readers(fleet):
-    """List the entries that read for others."""
+    """Return the entries that read the store for others."""
     members = next(iter(fleet.entries.values())).catalog.members.values()
     readers = [r for i in range(HALLS) for r in choose_readers(members, f"h{i}", fleet.settings)]
     return [fleet.entries[reader.relay.port] for reader in readers]
@@ -103,9 +104,9 @@
         virtualtime.run(check())
 
     def test_a_reader_that_stays_behind_costs_its_followers_no_readings(self):
-        """A reader that is cut off from the store knows its older copy for as long.
+        """A reader that is cut off from the store keeps the records of the older copy.
 
-        Each time that a follower came back to it, it was told so, and read all anew: once in 3.5 s.
+        Each follower that returned to it found another copy, and read all pages again: every 3.5 s.
         """
 
         async def check():
@@ -127,17 +128,17 @@
 
 class TestRestoreWhileReading:
     def test_pages_of_two_copies_are_not_put_together(self):
-        """The store was restored between two pages of one reading of it.
+        """The store is restored between two pages of one read.
 
-        The entry went on from the first page's revision, which the restored store gave out once
-        more, so that it never saw the version of the configuration written there:
+        The entry watched from the first page's revision, a number that the restored store used
+        again, so that it never saw the configuration written there:
 
             1.346  RESTORED era 2
             1.441  store: Its history is gone; reading all again.
             1.446  RESTORED era 3
             1.457  routing: In force.  version 3  revision 78
 
-        and ten seconds later still version 3 where the store held 4.
+        Ten seconds later it still had version 3 where the store held 4.
         """
 
         async def check():
@@ -198,7 +199,7 @@
         virtualtime.run(check())
 
     def test_records_on_the_way_are_compressed(self):
-        """All of a hall take them at once, over links that also carry callers' requests."""
+        """All entries of a hall fetch them at once, over links that also carry requests."""
 
         async def check():
             async with open_fleet() as fleet:
@@ -208,7 +209,7 @@
                 handed = fleet.handed_bytes
                 whole = await ask_for_whole(client, WantedEra("0"), timeout_s=1.0)
                 assert fleet.handed_bytes - handed < len(plain.body) / 3
-                # An entry of an earlier version asks for them as they are.
+                # An entry of an earlier version requests uncompressed records.
                 old = msgspec.msgpack.decode(plain.body, type=HandedRecords)
                 items = msgspec.msgpack.decode(old.items, type=list[StoredItem])
                 assert items == whole.items
@@ -249,7 +250,7 @@
     away_s=st.sampled_from([0.0, 0.5, 2.0]),
 )
 def test_after_restores_all_hold_what_the_store_holds(kills, cuts, restores, away_s):
-    """Entries are killed and replaced, or cut off for 1.5 s, around the store's restores."""
+    """Entries are killed and replaced, or cut off for 1.5 s, while the store is restored."""
 
     async def check():
         async with open_fleet() as fleet:
--- a/halldoor/tests/test_leaving_statement.py
+++ b/halldoor/tests/test_leaving_statement.py
@@ -1,4 +1,4 @@
-"""A target says in its answers that it leaves, and gets no further requests from then on."""
+"""Targets that state in their answers that they are leaving get no further requests."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from halldoor.tests.ratekit import RateFleet
 
 SPREAD_S = 2.0
-"""Time after which a target that leaves gets nothing new, in seconds."""
+"""Time after which a leaving target gets no new requests, in seconds."""
 
 
 def say_leaving(target):
-    """Make a target say that it leaves in each of its answers."""
+    """Make a target state in each answer that it is leaving."""
     target.extra = [(b"halldoor-leaving", b"1")]
 
 
 @pytest.mark.parametrize("entries", [6, 10])
 @pytest.mark.parametrize("is_isolated", [False, True])
 def test_requests_reach_a_target_after_it_said_that_it_leaves(entries, is_isolated):
-    """Its record never says so: the store is away, or turns the target away."""
+    """The target's record never says so: the store is out of reach, or refuses its writes."""
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
@@ -40,7 +40,7 @@
 
 
 def test_entries_that_sent_a_leaving_target_nothing_learn_of_it():
-    """Else they find out by requests of their own, or once it is gone."""
+    """Without notices they would find out by own requests, or once the target is gone."""
 
     async def check():
         async with RateFleet.open(entries=6, targets=3) as fleet:
@@ -106,7 +106,7 @@
 
 
 class TestCatalog:
-    """What is known of a target that said that it leaves."""
+    """The catalog's state of a target that stated that it is leaving."""
 
     @pytest.fixture
     def catalog(self):
@@ -163,7 +163,7 @@
 
 
 def test_a_health_answer_says_that_a_target_leaves():
-    """Entries without contact check the targets that they use."""
+    """Entries without contact to the store check the health of targets in use."""
 
     async def check():
         async with RateFleet.open(entries=1, targets=2, health_path="/health") as fleet:
--- a/halldoor/tests/test_mass_lapse.py
+++ b/halldoor/tests/test_mass_lapse.py
@@ -1,4 +1,7 @@
-"""Targets whose records lapsed with the store stay in use, whoever takes them for removed."""
+"""Targets whose records expired in an outage of the store stay in use everywhere.
+
+An entry that was suspended in the outage took the expired records for removed, and notified others.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,14 @@
 AWAY_S = 6.0
 TARGETS = 20
 RETURN_S = 1.9
-"""Time after the store's return in which lapsed records come back, in seconds."""
+"""Time after the store's return in which targets write their records again, in seconds."""
 
 
 def find_fewest_usable(entries, *, seed):
-    """Let all records lapse with the store while one entry is suspended; give the fewest usable."""
+    """Return the fewest usable targets at each entry during and after an outage.
+
+    All targets' records expire in the outage, while one entry is suspended; it is left out.
+    """
     fewest = {}
 
     async def play():
@@ -48,6 +54,6 @@
 
 @pytest.mark.parametrize("entries", [6, 20])
 def test_entry_suspended_in_an_outage_withdraws_all_targets_everywhere(entries):
-    # It had not seen the outage, took all lapsed records for removed and notified the others.
+    # The suspended entry had not seen the outage, and reported all targets as withdrawn.
     fewest = find_fewest_usable(entries, seed=1)
     assert {port: n for port, n in fewest.items() if n < TARGETS} == {}
--- a/halldoor/tests/test_notices_in_release.py
+++ b/halldoor/tests/test_notices_in_release.py
@@ -1,4 +1,7 @@
-"""Notices of many targets that drain one after the other cost neither calls nor contact."""
+"""Notices of many targets that drain in turn, as in a release, cause no extra store calls.
+
+Nor do they make entries cancel watches before a slow store answers.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,12 @@
 
 SETTINGS = RelaySettings(bound_s=3.0)
 ENTRIES = 24
-"""Each in a hall of its own, so that each watches for itself."""
+"""Number of entries; each is alone in its hall, so that each watches the store itself."""
 TARGETS = 60
 PERIOD_S = 0.1
-"""Time between two targets that drain, in seconds."""
+"""Time between the withdrawals of two targets, in seconds."""
 SLOW_STORE = 160.0
-"""Factor of the store's time for a call: an answer then takes 0.8 s."""
+"""Factor on the store's time for a call, so that an answer takes 0.8 s."""
 
 
 def drain(fleet, number):
@@ -32,7 +35,7 @@
 
 
 def play_release(write=drain, *, slowness=1.0):
-    """Write one change after the other; give the watches, and how late each view was at most."""
+    """Write changes in turn; return the number of watches and each entry's largest lag in s."""
     results = []
 
     async def play():
@@ -72,20 +75,20 @@
 
 
 def test_each_notice_ends_the_pause_of_all_entries():
-    # Entries asked the store at each other's notices of what these had already told them.
+    # Each notice made entries read from the store what the notice contained already.
     watches, _ = play_release()
     assert watches <= ENTRIES * (TARGETS * PERIOD_S / SETTINGS.own_pause_s + 1)
 
 
 @pytest.mark.parametrize("write", [drain, configure])
 def test_watches_are_given_up_before_a_slow_store_answers_them(write):
-    # Each notice of others led to another watch half a second later, so that none was answered.
+    # Each notice made entries replace their watch half a second later, so none was answered.
     _, latest = play_release(write, slowness=SLOW_STORE)
     assert latest[-1] <= SETTINGS.bound_s
 
 
 def test_a_configuration_is_not_passed_on_beside_a_withdrawn_target():
-    # Receivers took both in one message for news that they can apply without the store.
+    # Receivers took a message with both for one that they can apply without the store.
     view, start = StoreView("1", 9), TargetStart("t0", 0)
     due = dict.fromkeys((None, start), _Pending(view, learned_at=1.0, due_at=1.0))
     notices = list(_build_notices(due, view, 1.0))
--- a/halldoor/tests/test_pause.py
+++ b/halldoor/tests/test_pause.py
@@ -1,4 +1,4 @@
-"""Pauses between two watches of the store, in virtual time."""
+"""Pauses between two watches of the store, tested in virtual time."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 BATCH_S = 1.2
 CALL_S = 0.1
-"""Time in which a call to the store and back is over, in seconds."""
+"""Time that a call to the store takes at most, in seconds."""
 
 
 @contextlib.asynccontextmanager
 async def open_fleet(*, entries, targets=0):
-    """Entries of halls without readers."""
+    """Open a fleet whose halls have no readers, so that each entry watches the store."""
     fleet = StoreFleet(entries=entries, halls=entries // 2, targets=targets)
     fleet.configure(1)
     await fleet.start(within_s=0.5)
@@ -38,14 +38,14 @@
 
 
 def test_entries_are_not_deaf_at_once_after_a_change():
-    """A change woke all entries; none asked the store for the next 1.2 s, whatever happened."""
+    """A change ended all watches at once, and all entries then paused for the same 1.2 s."""
 
     async def check():
         async with open_fleet(entries=10) as fleet:
             fleet.configure(2)
             await fleet.wait(2)
             fleet.configure(3)
-            # Each second part of the pause, with a notice, leaves most of any bound.
+            # Half of the pause and a notice use up only a small part of any time bound.
             await asyncio.sleep(BATCH_S / 2)
             assert list_informed(fleet, 3)
             await asyncio.sleep(BATCH_S / 2 + CALL_S)
@@ -76,14 +76,14 @@
                 fleet.write_target(0, "h0")
                 await asyncio.sleep(BATCH_S / 6)
             calls = fleet.count_calls(began, began + 10 * BATCH_S)
-            # The first watch waited already.
+            # One more for the watch that was open at the start.
             assert calls["watch"] <= 10 * (10 + 1)
 
     virtualtime.run(check())
 
 
 def test_notices_of_targets_that_leave_cost_no_calls():
-    """Each of them made every entry call the store, for what the notice had said."""
+    """Each notice made every entry call the store for a change that the notice contained."""
 
     async def check():
         async with open_fleet(entries=10, targets=60) as fleet:
@@ -92,9 +92,9 @@
                 fleet.write_target(number, "h0", is_draining=True)
                 await asyncio.sleep(BATCH_S / 6)
             calls = fleet.count_calls(began, began + 10 * BATCH_S)
-            # The first watch waited already.
+            # One more for the watch that was open at the start.
             assert calls["watch"] <= 10 * (10 + 1)
-            # The last one's notice is on its way.
+            # The notice of the last target may still be under way.
             await asyncio.sleep(BATCH_S)
             for entry in fleet.entries.values():
                 assert not entry.catalog.list_usable("deck")
--- a/halldoor/tests/test_reading.py
+++ b/halldoor/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""Readings of the whole store, in virtual time."""
+"""Reads of all records of the store, tested in virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 BOUND_S = 3.0
 """Time from a record's writing to its effect at every entry, in seconds."""
 READ_S = 3.0
-"""Time after which a client of the store gives a page up, in seconds."""
+"""Time after which a client of the store abandons the call for a page, in seconds."""
 TRAVEL_S = 0.035
 """Time of a message between two regions, in seconds."""
 TARGETS = 130
@@ -52,7 +52,7 @@
 
 
 def delay(entry):
-    """Put the store into another region."""
+    """Delay an entry's calls as if the store were in another region."""
     for name in ("read_range", "watch"):
         setattr(entry.link, name, make_slow(getattr(entry.link, name)))
 
@@ -69,7 +69,7 @@
 
 
 def turn_away(entry, should_fail):
-    """Let pages fail as calls that the store turns away, by the key that they begin after."""
+    """Make the store refuse page reads; `should_fail` decides by the key before the page."""
     read_range = entry.link.read_range
 
     async def read(prefix, *, after=""):
@@ -82,7 +82,7 @@
 
 
 async def lose_history(fleet):
-    """Cut all watches, and forget what they would go on from."""
+    """Cut all watches, and drop the history that they would resume from."""
     fleet.store.cut()
     fleet.store.forget_history()
     await asyncio.sleep(0.001)
@@ -90,7 +90,7 @@
 
 
 def fail_first(kinds):
-    """Fail the first call of each of some kinds."""
+    """Return a check that fails one call for each listed kind of page: first or rest."""
     left = list(kinds)
 
     def should_fail(after):
@@ -106,7 +106,7 @@
 class TestLostHistory:
     @pytest.mark.parametrize("failures", [["rest"], ["first", "rest"], ["rest", "rest"]])
     def test_pages_before_a_failed_one_are_not_read_again(self, failures):
-        """Each page that was turned away cost all the pages before it."""
+        """After each refused page, all pages before it were read again."""
 
         async def check():
             async with open_fleet() as fleet:
@@ -123,7 +123,7 @@
         virtualtime.run(check())
 
     def test_a_draining_target_is_known_before_the_last_page(self):
-        """Requests went on to a target on a page read, while the store turned the next away."""
+        """Requests went on to a target on a page that was read, while the next was refused."""
 
         async def check():
             async with open_fleet() as fleet:
@@ -134,13 +134,13 @@
                 await lose_history(fleet)
                 await asyncio.sleep(BOUND_S)
                 assert is_draining(entry, 0)
-                # A removal is known only once all pages are.
+                # A removal is known only once all pages are read.
                 assert entry.catalog.find_target("t00001") is not None
 
         virtualtime.run(check())
 
     def test_a_page_that_is_not_answered_is_asked_for_anew(self):
-        """The call took 3 s to fail, as long as the bound."""
+        """The unanswered call failed only after 3 s, which is the whole bound."""
 
         async def check():
             async with open_fleet() as fleet:
@@ -164,7 +164,7 @@
         virtualtime.run(check())
 
     def test_a_slow_link_brings_all_pages_in_the_end(self):
-        """Each page takes longer than any bound has time for."""
+        """Each page takes longer than the time limits that the bound allows."""
 
         async def check():
             async with open_fleet() as fleet:
@@ -182,7 +182,7 @@
                 await lose_history(fleet)
                 await asyncio.sleep(PAGES * READ_S + READ_S)
                 assert is_draining(entry, TARGETS - 1)
-                # Three are given up, after 0.5, 1 and 2 s.
+                # Three calls time out, after 0.5, 1 and 2 s.
                 assert len(calls) <= PAGES + 3
 
         virtualtime.run(check())
@@ -204,7 +204,7 @@
         virtualtime.run(check())
 
     def test_a_cut_watch_is_retried_at_once(self):
-        """A pause of 0.25 s after the cut added to the time of the reading."""
+        """A pause of 0.25 s after the cut came on top of the time for the read."""
 
         async def check():
             async with open_fleet() as fleet:
@@ -219,7 +219,7 @@
 
 
 def test_followers_of_a_reader_with_lost_history_get_the_difference():
-    """They left it for 3 s, asked the store, and each took half a megabyte over at once."""
+    """They left the reader for 3 s, called the store, and each fetched half a megabyte."""
 
     async def check():
         async with open_fleet(entries=16, halls=2) as fleet:
@@ -232,7 +232,7 @@
             for entry in fleet.entries.values():
                 assert is_draining(entry, 0)
                 assert entry.feed.is_direct == (entry in readers)
-            # One page of the 3 that each of the others would have taken over.
+            # The size of one of the 3 pages that each follower would have fetched.
             assert fleet.handed_bytes - handed < 50 * 100 * (16 - len(readers))
             calls = fleet.count_calls(began, began + BOUND_S)
             assert calls["range"] == PAGES * len(readers)
@@ -245,15 +245,15 @@
 
 
 def test_records_older_than_the_own_ones_are_not_taken_over():
-    """A target that was gone came back for as long as the reader was behind."""
+    """A removed target was used again for as long as the reader was behind."""
 
     async def check():
         async with open_fleet(entries=16) as fleet:
             (reader,) = [entry for entry in fleet.entries.values() if entry.feed.is_direct]
             reader.link.watch = hang
             follower = next(entry for entry in fleet.entries.values() if entry is not reader)
-            follower.feed.leave_reader("a test says so")
-            # Until the present poll is over; the reader's proof is still good.
+            follower.feed.leave_reader("left by the test")
+            # Until the current poll returns; the reader's state is still new enough.
             await asyncio.sleep(1.0)
             fleet.store.remove("targets/t00001")
             await asyncio.sleep(0.05)
@@ -271,7 +271,7 @@
 @pytest.mark.parametrize("refusals", [0, 1])
 @pytest.mark.parametrize(("halls", "is_silent"), [(1, False), (1, True), (4, False)])
 def test_faults_together_stay_within_the_bound(halls, is_silent, refusals):
-    """A silent reader, a lost history and a refused page took 2.3 s of a bound of 2 s."""
+    """A silent reader, a lost history and a refused page took 2.3 s, more than the bound of 2."""
 
     async def check():
         async with open_fleet(entries=16, halls=halls, targets=60) as fleet:
--- a/halldoor/tests/test_relay.py
+++ b/halldoor/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Changes that pass from readers of the store to the other entries of a hall."""
+"""Relaying of changes from a hall's readers of the store to its other entries."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
     @pytest.mark.parametrize("name", CHAINS)
     @given(bound_s=st.floats(2.0, 10.0))
     def test_the_parts_of_each_way_add_up_to_no_more_than_the_bound(self, name, bound_s):
-        """Each part was planned by itself: a lost reader and history took 2.5 s of a bound of 2."""
+        """With a limit for each step alone, a lost reader plus a lost history took 2.5 s, not 2."""
         assert RelaySettings(bound_s=bound_s).budget.add_up(CHAINS[name]) <= bound_s
 
     @given(bound_s=st.floats(0.5, 10.0), age_s=st.floats(0.0, 10.0))
@@ -120,7 +120,7 @@
         ),
     )
     def test_a_difference_leads_no_follower_astray(self, steps):
-        """Also one ahead of its reader, which knows what came and went before the difference."""
+        """Also a follower ahead of its reader, with changes that the difference leaves out."""
         table, states = {}, [{}]
         history = ChangeHistory()
         history.add(Batch(0, 0, []))
@@ -164,7 +164,7 @@
     def test_a_watch_never_proves_more_than_the_store_knew(
         self, sent_at, there_s, change_s, back_s, wait_s
     ):
-        """Whatever the way takes: the proof is not later than the moment the store answered."""
+        """With any travel time, the proof is not later than the moment the store answered."""
         arrived = sent_at + there_s
         has_changes = change_s < wait_s
         answered = arrived + min(change_s, wait_s)
@@ -210,7 +210,7 @@
 
 
 class Link(MetadataStore):
-    """One entry's way to a shared store; it can be cut, and counts watches."""
+    """One entry's link to a shared store; it can be cut, and counts watches."""
 
     def __init__(self, store):
         self.store = store
@@ -231,7 +231,7 @@
         self.watches += 1
         events = await self.store.watch(prefix, after=after, wait_s=wait_s)
         while self.is_cut or self.is_watch_stuck:
-            await asyncio.sleep(0.01)  # Whatever comes while the link is cut stays unheard.
+            await asyncio.sleep(0.01)  # Answers that arrive while the link is cut are held back.
         return events
 
     async def write(self, key, value, *, lease):
@@ -259,7 +259,7 @@
 
 
 class Fleet:
-    """Four entries of one hall that share a store; one of them reads it for the others."""
+    """Fleet of four entries in one hall that share a store; one reads it for the others."""
 
     def __init__(self, kits):
         self.kits = {kit.gateway.settings.name: kit for kit in kits}
@@ -283,7 +283,7 @@
                 kits.append(await stack.enter_async_context(kit))
             fleet = cls(kits)
             await fleet.wait(lambda: len(fleet.followers) == len(NAMES) - 1)
-            # Their first polls, so that nobody is in a watch of its own any more.
+            # Until the first polls are sent, so that no follower watches the store any more.
             await asyncio.sleep(2 * SMALL.direct_s)
             yield fleet
 
@@ -334,7 +334,7 @@
 
     @pytest.mark.parametrize("is_replaced", [True, False])
     def test_a_dead_readers_followers_read_the_store_at_once(self, is_replaced):
-        """And follow another reader once the dead one's record is gone."""
+        """They follow another reader once the crashed one's record is gone."""
 
         async def check(fleet):
             dead = fleet.reader
@@ -353,7 +353,7 @@
 
     @pytest.mark.parametrize("fault", ["is_cut", "is_watch_stuck"])
     def test_a_reader_that_does_not_hear_the_store_is_left_within_the_bound(self, fault):
-        """Also one whose lease is renewed while its watch is stuck: that proves nothing."""
+        """Also a reader that renews its lease while its watch hangs: that proves no contact."""
 
         async def check(fleet):
             cut = fleet.reader
--- a/halldoor/tests/test_substitute.py
+++ b/halldoor/tests/test_substitute.py
@@ -1,4 +1,4 @@
-"""An entry without contact to the store finds the entries that have it."""
+"""An entry without contact to the store finds a substitute among the entries in contact."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PeerClient:
-    """A client of an entry, which answers only where it is in contact."""
+    """Client of an entry that sends changes only if it is in contact with the store."""
 
     def __init__(self, has_contact):
         self.has_contact = has_contact
--- a/halldoor/tests/test_withdrawals.py
+++ b/halldoor/tests/test_withdrawals.py
@@ -1,4 +1,4 @@
-"""How long targets that drain or are gone still get requests, from log lines."""
+"""Report, from log lines, of how long withdrawn targets still get requests."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from halldoor.standins.storefleet import IP, StoreFleet
 
 STARTS = {"e1": 100.0, "e2": 5000.0, "e3": 70.0}
-"""Steady clocks of the entries at the collector's moment 0, in seconds."""
+"""Each entry's steady clock at the collector's time 0, in seconds."""
 
 
 def make_line(entry, at, event, **fields):
-    """Make a line as a collector writes it, the later the more it is behind."""
+    """Return a log line's time and its text, as a collector writes it."""
     line = {"event": event, "at": STARTS[entry] + at, "entry": entry, **fields}
     return at, f"{at:.3f} {entry} {json.dumps(line)}"
 
 
 def make_request(entry, ended, *attempts):
-    """Make the line of a request; attempts are target, result, time taken and to connect."""
+    """Return the log line of a request; attempts are (target, result, took_ms, connect_ms)."""
     names = ("target", "result", "took_ms", "connect_ms")
     fields = [dict(zip(names, attempt, strict=True)) for attempt in attempts]
     rest = {"service": "deck", "status": 200, "took_ms": 900, "stands_for": 1}
@@ -63,7 +63,7 @@
         assert found.last.own_s == pytest.approx(-0.06)
 
     def test_lines_that_were_collected_together_begin_with_one_time(self):
-        """A start without a time before its line shifted all later lines of its entry."""
+        """A line that only continues a batch has no time; it shifted its entry's later lines."""
         at, started = make_line("e1", 4.0, "process: Started.")
         (found,) = list_withdrawals(
             (at, started[started.index("{") :]),
@@ -82,7 +82,7 @@
         assert (found.unaware, found.last) == (1, None)
 
     def test_a_lost_line_is_no_late_news(self):
-        """Lines that were lost on the way made entries seem to learn of a drain at its end."""
+        """Lost log lines made entries seem to learn of a drain only when the target was gone."""
         (found,) = list_withdrawals(
             make_line("e2", 5.0, "targets: Draining.", target="t1", revision=9),
             make_line("e3", 5.1, "targets: Draining.", target="t1", revision=7),
@@ -160,7 +160,7 @@
 
 
 async def lose_history(change, *, targets):
-    """Change a store whose history is then dropped; give each entry's counts of lines."""
+    """Change a store, drop its history, and return each entry's counts of log lines."""
     fleet = StoreFleet(entries=3, halls=3, targets=targets)
     fleet.configure(1)
     await fleet.start(within_s=0.5)
@@ -174,7 +174,7 @@
 
 class TestWholeReading:
     def test_withdrawals_found_in_it_are_logged(self):
-        """The log did not say when an entry that read everything again knew of them."""
+        """The log did not show when an entry learned of withdrawals by a full read."""
 
         def change(fleet):
             write_draining(fleet, 1)
@@ -189,7 +189,7 @@
         virtualtime.run(check())
 
     def test_a_removal_that_is_taken_for_a_lapse_is_logged_as_such(self):
-        """Nothing told a target that is kept for a while from one that gets no requests."""
+        """The log did not distinguish a target kept after a lapse from one no longer used."""
 
         async def check():
             fleet = StoreFleet(entries=1, halls=1, targets=6)
--- a/halldoor/tests/test_withdrawn_during_gap.py
+++ b/halldoor/tests/test_withdrawn_during_gap.py
@@ -1,6 +1,7 @@
-"""A target's record that is removed while an entry's watch is cut, and the store is not away.
+"""A target's record is removed while one entry's watch is cut, but the store is available.
 
-The entry took its own gap for the store's absence, and sent requests to the target for 2 s more.
+The entry took its own gap for an outage of the store, in which records expire without reason, and
+sent requests to the target for 2 s more.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 WITHDRAWN, OTHER = "t00000", "t00001"
 REQUEST_PERIOD_S = 0.02
 OUTAGE_S = 4.5
-"""An outage in which records of sound targets run out, in seconds."""
+"""Length of an outage in which records of running targets expire, in seconds."""
 RETURN_S = 2.0
-"""Time after the store's return in which the records of sound targets are back, in seconds."""
+"""Time after the store's return in which running targets write their records, in seconds."""
 
 
 class Callers:
-    """Requests at one entry that failed at the other target."""
+    """Callers of one entry, whose requests failed at the other target before."""
 
     def __init__(self, entry):
         self.entry = entry
@@ -67,7 +68,7 @@
 
 @contextlib.contextmanager
 def call(entry):
-    """Send requests by an entry until the block ends."""
+    """Send requests to an entry until the block is left."""
     callers = Callers(entry)
     task = asyncio.ensure_future(callers.run())
     try:
@@ -77,7 +78,7 @@
 
 
 async def cut_watches(entry, for_s):
-    """Let an entry's watches fail for a time; its lease is renewed meanwhile."""
+    """Make an entry's watches fail for a time; its lease is renewed meanwhile."""
     link, watch = entry.link, entry.link.watch
 
     async def fail(prefix, **options):
@@ -165,9 +166,9 @@
                 await asyncio.sleep(0.1)
                 fleet.store.remove(f"targets/{WITHDRAWN}")
                 fleet.store.forget_history()
-                # Another process has no history that the entry could go on from.
+                # The new process has no history from which the entry could continue.
                 fleet.replace(2)
-                # Once back it reads the store anew; until then it can't know of the removal.
+                # After the cut it reads the store; until then it can't know of the removal.
                 await asyncio.sleep(5.0 + RETRY_S)
                 async with asyncio.timeout(fleet.settings.bound_s):
                     while not entry.events.counts["store: Read all."] > 1:
@@ -191,7 +192,7 @@
 
 
 class TestStoreAway:
-    """An outage in which the records of both targets run out."""
+    """An outage of the store in which the records of both targets expire."""
 
     @pytest.mark.parametrize("entries", [1, 2, 9])
     @pytest.mark.parametrize("has_history", [True, False])
@@ -287,7 +288,7 @@
 
 
 async def sleep_and_count_targets(fleet, for_s, *, least):
-    """Check for a time that every entry has targets to use."""
+    """Check for a time that every entry has at least `least` usable targets."""
     ends = asyncio.get_running_loop().time() + for_s
     while asyncio.get_running_loop().time() < ends:
         assert all(len(e.catalog.list_usable("deck")) >= least for e in fleet.entries.values())
--- a/properties/test_lapses.py
+++ b/properties/test_lapses.py
@@ -1,4 +1,4 @@
-"""Laws: a record is taken for lapsed where the store was away, and nowhere else."""
+"""Properties: a removed record counts as lapsed only if the store was away meanwhile."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 AWAY_FROM_S = 20.0
 LENGTH_S = 40.0
 SHORT_S = 1.4
-"""A cut that is shorter than a record's life with a renewal missed before and after it."""
+"""Length of a cut, in s, below a record's lifetime less one missed renewal before and after."""
 moments = st.floats(0.0, LENGTH_S)
 
 
 def play(spans):
-    """Let answers and reports come in, each at a moment, with ticks between; give each state."""
+    """Apply spans of contact at their times, with ticks between, and yield each state."""
     contact, now = StoreContact(), 0.0
     for at, span in sorted(spans, key=lambda s: s[0]):
         while now + TICK_S < at:
@@ -40,12 +40,12 @@
 def test_an_absence_of_the_store_is_found_and_never_ends_before_its_return(
     away_s, answers, reports
 ):
-    """Whatever this entry and others heard of it, as long as lapsed records may come back."""
+    """Holds for any contact of this entry and others, while records may be written again."""
     back_at = AWAY_FROM_S + away_s
     spans = [(at, ContactSpan(at, at)) for at in (0.0, *answers, back_at, LENGTH_S)]
     for at, since_s, age_s in reports:
         until = max(0.0, at - age_s)
-        # What others can have heard: the store was there for the whole of a span.
+        # Other entries may report any span in which the store was available throughout.
         spans.append((at, ContactSpan(max(0.0, until - since_s), until)))
     sound = [(at, span) for at, span in spans if span.until <= AWAY_FROM_S or span.since >= back_at]
     for now, contact in play(sound):
@@ -64,7 +64,7 @@
 def test_an_entry_that_hears_another_in_contact_finds_no_absence(
     answers, cut_from, period_s, age_s
 ):
-    """It asks one that was in contact for ever, from two seconds after its own last answer on."""
+    """It polls an entry that is always in contact, from its own first answer on."""
     spans = [(at, ContactSpan(at, at)) for at in (0.0, *answers, cut_from)]
     at = min(a for a in (0.0, *answers, cut_from))
     while at < LENGTH_S:
@@ -76,7 +76,7 @@
 
 
 def list_cuts(most_s):
-    """Draw times for which entries are cut off from the store, one for each."""
+    """Return a strategy of cuts (entry, start, length in s), at most one for each entry."""
     cut = st.tuples(st.integers(1, 8), st.floats(0.0, 3.0), st.floats(0.3, most_s))
     return st.lists(cut, min_size=1, max_size=8, unique_by=lambda c: c[0])
 
@@ -86,13 +86,13 @@
     entries=st.sampled_from([2, 5, 9]),
     faults=st.one_of(
         st.tuples(list_cuts(6.0), st.just([])),
-        # An entry without a history asks nobody but the store.
+        # Without the store's history an entry can only read the store itself.
         st.tuples(list_cuts(SHORT_S), st.lists(st.floats(0.0, 6.0), min_size=1, max_size=3)),
     ),
     removals=st.lists(st.floats(0.0, 6.0), min_size=6, max_size=12),
 )
 def test_what_the_store_removes_while_it_answers_is_never_used_again(entries, faults, removals):
-    """All entries but one are cut off from the store for a time, and its history is lost."""
+    """Some entries are cut off for a time; after short cuts the history may be lost too."""
     cuts, losses = faults
 
     async def check():
