--- a/halldoor/gateway/sync.py
+++ b/halldoor/gateway/sync.py
@@ -35,10 +35,8 @@
 )
 
 BATCH_S = 0.6
-"""Usual pause between an event and the next watch, in seconds.
-
-The store charges for each watch that returns; several changes within the pause cost one.
-"""
+"""Usual pause between a change and the next watch, in seconds.  The store charges for each watch
+that returns; several changes within the pause cost one."""
 
 WITHDRAWALS_LOGGED = 100
 """Draining or removed targets that are logged one by one after a full read; others are counted."""
@@ -63,8 +61,11 @@
     Attributes
     ----------
     on_update : list of callable
-        Called after each update with the changes that were applied and the view of the store that
-        contains them.
+        Called after each update with the applied changes and the view that contains them.
+    is_unconfirmed : bool
+        Whether the process was suspended, and no call to the store has finished since.
+    is_loaded : asyncio.Event
+        Set once all records were read.
     """
 
     def __init__(
@@ -228,8 +229,8 @@
     def _apply_withdrawals(self, page: Page, era: str) -> None:
         """Apply the withdrawals of a page before the other pages are read.
 
-        Only withdrawals: records missing from this page, or targets of a newer configuration, may
-        be on another page.  A page of another copy of the store may be outdated and is skipped.
+        Records missing here, or targets of a newer configuration, may be on another page.  A page
+        of another copy of the store may be outdated, and is skipped.
         """
         self._backoff.reset()
         now = asyncio.get_running_loop().time()
@@ -291,8 +292,7 @@
     def _decode(self, item: StoredItem) -> Change | None:
         """Decode a record; treat one that can't be decoded as removed.
 
-        So a record that another writer overwrote is not used until its owner writes it again; the
-        configuration in use and all other records stay in force.
+        An overwritten record is unused until its owner writes it; a configuration stays in force.
         """
         try:
             return self._codec.decode(item)
