--- a/halldoor/gateway/leaving.py
+++ b/halldoor/gateway/leaving.py
@@ -35,7 +35,7 @@
     ----------
     started_ms : int
         Start of the target's process, in Unix milliseconds.
-    stated_at : float
+    said_at : float
         When the target's answer arrived at the first entry, on the loop's clock.
     left : int
         Number of messages that are still to carry it.
