--- a/halldoor/entry/claims.py
+++ b/halldoor/entry/claims.py
@@ -1,4 +1,4 @@
-"""A task that claims operation ids in the platform, many with one write."""
+"""A task that claims operation ids in the platform, in batches of one write per shard."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 TRIES = 6
 PAUSE_S = 0.3
-"""Longest time after a slow failure in which requests fail at once, so nobody waits in vain."""
+"""Longest time after a slow failure in which claim requests fail at once instead of waiting."""
 WAIT_S = 3.0
 
 Holder = Result[Claim | None, PlatformError]
 
 
 class ClaimRequest(NamedTuple):
-    """A request to claim one id; the reply goes into its queue."""
+    """A request to claim one id; the result is put into its reply queue."""
 
     operation: str
     reply: queue.SimpleQueue[Holder]
@@ -40,31 +40,31 @@
 class Claims(Task[ClaimRequest]):
     """Owns the platform connection for claims.
 
-    Requests that come while a write is under way are taken together by the next,
-    so writes per order fall as load rises.
+    Requests that arrive during a write are claimed together by the next write, so writes
+    per order fall as load rises.
 
     Parameters
     ----------
     platform : Platform
         The key-value service.
     me : Claim
-        This process.
+        The claim that names this process as the holder.
 
     Attributes
     ----------
     on_new : callable
-        Called with each id that this process has just claimed, before anyone is
-        told, so that whoever learns of the claim finds the ticket.  An id claimed
-        earlier, whose ticket was since forgotten, is never given to it again.
+        Called with each id that this process has just claimed, before its requesters
+        receive the claim, so that its ticket exists by then.  Never called again for an id
+        claimed earlier, even if its ticket has been forgotten since.
     """
 
     def __init__(self, platform: Platform, me: Claim) -> None:
         super().__init__("claims", period_s=1.0)
         self._platform = platform
         self._me = me
-        # What the last write left there; saves the read where nobody else wrote since.
+        # Shard and version after the last write; saves a read if no other process has written since.
         self._known: dict[int, tuple[Shard, int]] = {}
-        # Ids whose claim may have been written although this process was told nothing.
+        # Ids whose claim may have been written although the write failed here.
         self._uncertain: set[str] = set()
         self.on_new: Callable[[str], None] = lambda operation: None
         self._down_until = 0.0
@@ -72,7 +72,7 @@
         self.claimed = 0
 
     def ask(self, operation: str) -> Holder:
-        """Claim an id and wait for its holder; ``Failure`` where the platform can't tell."""
+        """Claim an id and return its holder; ``Failure`` if the platform doesn't answer in time."""
         reply: queue.SimpleQueue[Holder] = queue.SimpleQueue()
         self.tell(ClaimRequest(operation, reply))
         try:
@@ -96,7 +96,7 @@
             try:
                 holders = self._claim(shard, operations)
             except PlatformError as exc:
-                # A platform that refuses at once costs nobody any time: it is asked again.
+                # Fail fast for half as long as the failed call took: an instant failure delays no retry.
                 now = time.monotonic()
                 self._down_until = now + min(PAUSE_S, (now - started) / 2)
                 self._known.pop(shard, None)
@@ -108,10 +108,10 @@
                 request.reply.put(Success(holders[request.operation]))
 
     def _claim(self, number: int, operations: set[str]) -> dict[str, Claim | None]:
-        """Claim ids of one shard by compare-and-swap.
+        """Claim ids of one shard by compare-and-swap, and return their holders.
 
-        A write whose answer was lost is read back by the next turn of the loop: if
-        it took effect, the ids have this process as their holder.
+        After a write whose answer was lost, the next iteration reads the shard back: if the
+        write took effect, this process is the holder of the ids.
         """
         new: set[str] = set()
         for _ in range(TRIES):
@@ -136,7 +136,7 @@
         raise PlatformError("Many write the same shard at once.", remedy="Repeat the same id.")
 
     def _read(self, number: int) -> tuple[Shard, int]:
-        """Read a shard and its version."""
+        """Read a shard and its version from the platform."""
         value = self._platform.get(to_key(number))
         if value is None:
             return Shard(), 0
--- a/halldoor/entry/dispatch.py
+++ b/halldoor/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""Carry a request through the steps that routing gives, and record the decision."""
+"""Try the routing steps of a request in order, and record the decision."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from halldoor.entry.request import Answer, Body, Request
 
 REMOTE_HALLS = 3
-"""Other halls asked for one request at most."""
+"""Most other halls that are tried for one request."""
 STREAM_RESERVE = 1_000_000
 """Link bytes reserved for a body of unknown length."""
 
@@ -42,7 +42,7 @@
 
 
 class _Trail:
-    """What happened so far to one request."""
+    """Progress of one request through its routing steps: failures, target, caps charged."""
 
     def __init__(self) -> None:
         self.passed_over: list[PassedOver] = []
@@ -55,13 +55,13 @@
         self.paid: set[tuple[str, ...]] = set()
 
     def add_failure(self, step: Step, failure: HallRefusal) -> None:
-        """Remember why a step failed."""
+        """Record why a step failed."""
         self.step = step
         self.passed_over += failure.passed_over
         self.passed_over.append(PassedOver(f"hall {step.hall}", failure.refusal.message))
         self.attempts += failure.attempts
         self.target = failure.target or self.target
-        # A refusal that says more than "no target here" is worth more to the caller.
+        # "No target" is the least informative reason, so it never replaces another one.
         if failure.refusal.reason != Reason.NO_TARGET or self.refusal.reason == Reason.NO_TARGET:
             self.refusal = failure.refusal
 
@@ -74,13 +74,13 @@
     me : str
         Name of this entry.
     local : LocalHall
-        The own hall.
+        Serves requests at the own hall's targets.
     remote : RemoteEntry
-        The way to other halls.
+        Forwards requests to entries of other halls.
     invariants : Invariants
-        Counters of broken promises.
+        Counters of violated invariants.
     is_avoided : callable
-        Tells by name whether an entry is known to be leaving or dead.
+        Checks by name whether an entry is known to be leaving or dead.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self.snapshot: Snapshot | None = None
 
     def adopt(self, snapshot: Snapshot) -> None:
-        """Take over a new revision."""
+        """Apply a new configuration revision to caps and link limits."""
         roster = [e.name for e in snapshot.hall.entries]
         index = roster.index(self._me) if self._me in roster else len(roster)
         with self._lock:
@@ -117,12 +117,12 @@
             self.snapshot = snapshot
 
     def serve(self, request: Request, body: Body) -> Result[Served, Refused]:
-        """Serve a request, or refuse it with its final answer."""
+        """Try the steps of a request until one answers, or return the final refusal."""
         snapshot = self.snapshot
         trail = _Trail()
         view = snapshot.services.get(request.service) if snapshot else None
         if snapshot is None or view is None:
-            # Read under another revision, or at an entry that knew one: here it is not known.
+            # The service was removed between reading and dispatch, or only the forwarding entry has it.
             refusal = refuse(
                 Reason.UNKNOWN_SERVICE, "The service is not known here now. Come back."
             )
@@ -153,7 +153,7 @@
     def _may_take(
         self, step: Step, trail: _Trail, meters: ServiceMeters, snapshot: Snapshot
     ) -> bool:
-        """Check whether caps and bounds allow a step; the caps are charged before the move."""
+        """Check whether the caps and `REMOTE_HALLS` allow a step, and charge its caps."""
         is_remote = step.hall != snapshot.hall.name
         if is_remote and trail.remote_halls >= REMOTE_HALLS:
             return False
@@ -175,7 +175,7 @@
     def _try(
         self, step: Step, request: Request, body: Body, snapshot: Snapshot, view: ServiceView
     ) -> Result[Answer, HallRefusal]:
-        """Try one hall."""
+        """Send a request to the hall of one step."""
         is_spill = step.hall not in view.home_halls
         if step.hall == snapshot.hall.name:
             return self._local.serve(step.targets, request, body, is_spill=is_spill)
@@ -205,14 +205,14 @@
         return result
 
     def _release(self, share: LinkShare | None, size: int) -> None:
-        """Give link room back."""
+        """Release reserved link capacity; without a link limit there is none."""
         if share is None:
             return
         with self._lock:
             share.release(size)
 
     def _list_entries(self, hall: str, request: Request, snapshot: Snapshot) -> list[EntryHost]:
-        """List the entries of a hall, spread by request, avoided ones last."""
+        """List the entries of a hall ranked by request id to spread load, avoided ones last."""
         known = snapshot.configuration.find_hall(hall)
         entries = {e.name: e for e in known.entries} if known else {}
         names = sorted(rank(request.id, entries), key=self._is_avoided)
@@ -221,7 +221,7 @@
     def _decide(
         self, request: Request, trail: _Trail, snapshot: Snapshot | None, outcome: str
     ) -> Decision:
-        """Build the record of a decision."""
+        """Build the decision record of a request."""
         step = trail.step
         return Decision(
             id=request.id,
@@ -241,7 +241,7 @@
         )
 
     def count_moves(self) -> dict[tuple[str, str], tuple[int, int, float]]:
-        """Count total and moved requests, and the cap, by service and meter."""
+        """Return total requests, moved requests and the cap, by service and meter."""
         with self._lock:
             return {
                 (service, name): (meter.count.total, meter.count.moved, meter.cap)
@@ -251,14 +251,14 @@
 
 
 def _may_go_on(refusal: Refusal, request: Request, body: Body) -> bool:
-    """Check whether the next step may be tried."""
+    """Check whether the next step may be tried after a refusal."""
     if is_final(refusal, request) or not body.can_repeat:
         return False
     return request.get_remaining_s() > 0 and not request.cancellation.is_cancelled
 
 
 def _refuse_by_cap(cap: str) -> Refusal:
-    """Refuse what may not move."""
+    """Build the refusal of a request that a cap keeps from another hall."""
     return refuse(
         Reason.SHIFT_CAP,
         f"No room at home, and the cap of '{cap}' allows no move now. Come back in a second.",
--- a/halldoor/entry/hall.py
+++ b/halldoor/entry/hall.py
@@ -1,4 +1,4 @@
-"""Admission to the hall's own targets: a target, and the right to send to it."""
+"""Admission to the hall's own targets: choose a target and reserve one of its slots."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 from halldoor.core.steering.snapshot import Snapshot
 
 REST_MARGIN_S = 0.2
-"""Time after a deadline in which a target may still be busy with what was cut off."""
+"""Seconds after a deadline in which a target may still run a request that was cut off."""
 SPILL_HEADROOM = 0.1
-"""Share of slots that requests from other regions leave free for the hall's own."""
+"""Share of slots kept free for the hall's own callers when another region sends requests."""
 
 Borrow = Callable[[Sequence[str], float], Hold | None]
 
 
 class Admission(NamedTuple):
-    """A target with room, and the hold on its slot."""
+    """A chosen target and the hold on one of its slots."""
 
     target: Target
     hold: Hold
 
 
 class NoAdmission(NamedTuple):
-    """Why no target could take a request."""
+    """The reason why no target was admitted, and the targets that were rejected."""
 
     refusal: Refusal
     passed_over: list[PassedOver]
 
 
 class HallRoom:
-    """Slots, health and policy of this hall, as one entry sees them.
+    """Admits requests to this hall's targets by slots, health and policy, for one entry.
 
-    One lock guards all of it.  Handing each admission to a task by message was
-    weighed: two thread switches a request cost more than the rest of the decision
+    One lock guards all state.  A task that receives each admission as a message was
+    considered: two thread switches per request cost more than the decision itself
     (docs/design/concurrency.md).
     """
 
@@ -58,7 +58,7 @@
         give_back: Callable[[Hold, float], None],
         rest_at_start: bool = True,
     ) -> None:
-        # Waiters for a slot sleep on it; whoever frees one wakes one of them.
+        # Threads that wait for a slot wait on this condition; freeing a slot wakes one of them.
         self._lock = threading.Condition()
         self._waiting = 0
         self._policy = policy
@@ -72,7 +72,11 @@
         self.health = HealthTable()
 
     def adopt(self, snapshot: Snapshot) -> None:
-        """Take over a new revision."""
+        """Apply a new configuration revision to slots and health.
+
+        Targets that the revision adds are marked cold.  After the first revision, slots rest
+        for `Snapshot.rest_s` only if ``rest_at_start`` is set.
+        """
         now = time.monotonic()
         is_first = self._snapshot is None
         with self._lock:
@@ -90,7 +94,7 @@
             self._snapshot = snapshot
 
     def confirm_roster(self, revisions: Mapping[str, int]) -> None:
-        """Learn which entries have adopted which revision, so that moved slots can be used."""
+        """Confirm the roster for entries that adopted it, which frees the slots moved from them."""
         snapshot = self._snapshot
         if snapshot is None:
             return
@@ -114,7 +118,7 @@
         is_spill: bool = False,
         wait_s: float = 0.0,
     ) -> Result[Admission, NoAdmission]:
-        """Find a target with room and take a slot of it.
+        """Choose a target that has a free slot, and reserve the slot.
 
         Parameters
         ----------
@@ -125,9 +129,10 @@
         excluded : frozenset of str, optional
             Targets already tried.
         is_spill : bool, optional
-            The request comes from another region, and leaves some room free.
+            Whether the request comes from another region; such a request is refused unless
+            more than `SPILL_HEADROOM` of the slots is free.
         wait_s : float, optional
-            Time to wait for a slot before giving up.
+            Seconds to wait for a slot before the request is refused.
         """
         now = time.monotonic()
         passed_over: list[PassedOver] = []
@@ -138,7 +143,7 @@
                 return Failure(self._refuse(Reason.NO_ROOM, "keeps room for its own", passed_over))
             admission = self._take_own(names, until, now, passed_over)
         if admission is None and names and until > now:
-            # Asking peers takes a round trip, so no lock is held meanwhile.
+            # Borrowing from a peer takes a round trip, so the lock is not held during it.
             admission = self._take_borrowed(names, until)
         if admission is None and names and wait_s > 0:
             admission = self._wait(targets, until=until, excluded=excluded, wait_s=wait_s)
@@ -151,10 +156,11 @@
     def _wait(
         self, targets: Sequence[str], *, until: float, excluded: frozenset[str], wait_s: float
     ) -> Admission | None:
-        """Wait a short while for an own slot.
+        """Wait up to ``wait_s`` seconds for one of this entry's own slots.
 
-        No more wait than there are own slots, so that a wait is about one request long;
-        the others are refused at once and can go where there is room.
+        At most as many requests wait as there are own slots, so that a wait lasts about as
+        long as one request.  Further requests are refused at once and can be sent to a hall
+        with free slots.
         """
         ends = min(time.monotonic() + wait_s, until)
         with self._lock:
@@ -174,7 +180,7 @@
         return None
 
     def _refuse(self, reason: Reason, what: str, passed_over: list[PassedOver]) -> NoAdmission:
-        """Build the refusal of this hall."""
+        """Build a refusal that names this hall."""
         hall = self._snapshot.hall.name if self._snapshot else "?"
         message = f"Hall {hall} {what} for this request now. Come back in a second."
         return NoAdmission(refuse(reason, message), passed_over)
@@ -186,7 +192,7 @@
         now: float,
         passed_over: list[PassedOver],
     ) -> list[str]:
-        """Filter and order the targets."""
+        """List the usable targets in the policy's order, and add the rejected ones to passed_over."""
         if self._snapshot is None:
             return []
         known = self._snapshot.hall_targets
@@ -207,16 +213,16 @@
         views = [self._view(n, now) for n in usable]
         cold = [v.name for v in views if _is_cold_full(v, self._snapshot.hall_targets[v.name])]
         warm = self._policy.order([v for v in views if v.name not in cold])
-        # A cold target past its ramp is a last resort: slow, but better than a refusal.
+        # A cold target that has its ramp's share already is a last resort: slow, but not a refusal.
         return [*warm, *self._policy.order([v for v in views if v.name in cold])]
 
     def _view(self, name: str, now: float) -> TargetView:
-        """Build what the policy sees of one target."""
+        """Build the policy's view of one target."""
         share = self.slots.count_home(name)
         return self.health.view(name, in_flight=self._in_flight.get(name, 0), share=share, now=now)
 
     def _has_headroom(self, targets: Sequence[str], now: float) -> bool:
-        """Check whether enough own slots are free to take a request from elsewhere."""
+        """Check whether enough own slots are free to admit a request from another region."""
         home = sum(self.slots.count_home(t) for t in targets)
         free = sum(self.slots.count_free(t, now) for t in targets)
         return free > home * SPILL_HEADROOM
@@ -224,7 +230,7 @@
     def _take_own(
         self, names: Sequence[str], until: float, now: float, passed_over: list[PassedOver]
     ) -> Admission | None:
-        """Take an own slot of the first target that has one."""
+        """Reserve an own slot of the first target that has a free one."""
         assert self._snapshot is not None or not names
         for name in names:
             hold = self.slots.acquire(name, now=now, until=until)
@@ -234,7 +240,7 @@
         return None
 
     def _take_borrowed(self, names: Sequence[str], until: float) -> Admission | None:
-        """Borrow a slot of any of the targets from a peer."""
+        """Borrow a slot of any of the targets from another entry of the hall."""
         hold = self._borrow(names, until)
         if hold is None:
             return None
@@ -242,14 +248,14 @@
             return self._count_in(hold.key.target, hold)
 
     def _count_in(self, name: str, hold: Hold) -> Admission:
-        """Count a request in."""
+        """Count a request as in flight on a target, and return its admission."""
         assert self._snapshot is not None
         self._in_flight[name] = self._in_flight.get(name, 0) + 1
         self._invariants.check(self.slots.is_consistent(), "slot-in-one-place", name)
         return Admission(self._snapshot.hall_targets[name], hold)
 
     def may_send(self, admission: Admission) -> bool:
-        """Check whether the hold still stands and the target still takes work."""
+        """Check whether the hold is still valid and the target still accepts requests."""
         now = time.monotonic()
         with self._lock:
             snapshot = self._snapshot
@@ -259,15 +265,15 @@
         return now < admission.hold.until and not is_leaving
 
     def release(self, admission: Admission, *, busy_until: float = 0.0) -> None:
-        """Return a slot back.
+        """Release the slot of an admission; a borrowed slot is returned to its lender.
 
         Parameters
         ----------
         admission : Admission
-            What was admitted.
+            The admission that ends.
         busy_until : float, optional
-            Time until which the target may still be busy with what was cut off; the
-            slot rests a little longer than that.
+            Time, in monotonic seconds, until which the target may still run a request that was
+            cut off; the slot stays unused for `REST_MARGIN_S` longer.
         """
         hold = admission.hold
         rest_until = busy_until + REST_MARGIN_S if busy_until else 0.0
@@ -281,7 +287,7 @@
             self._give_back(hold, rest_until)
 
     def lend(self, targets: Sequence[str], borrower: str, duration_s: float) -> Loan | None:
-        """Lend a peer a slot of the first of the targets that has one idle."""
+        """Lend a peer an idle slot of the first of the targets that has one."""
         now = time.monotonic()
         with self._lock:
             self.slots.expire_loans(now)
@@ -294,13 +300,13 @@
         return None
 
     def end_loan(self, number: int, borrower: str, rest_s: float) -> None:
-        """Take a lent slot back."""
+        """End a loan; its slot can be used again after ``rest_s`` seconds."""
         with self._lock:
             self.slots.end_loan(number, borrower, rest_until=time.monotonic() + rest_s)
             self._lock.notify()
 
     def mark(self, target: str, *, is_healthy: bool, is_leaving: bool, load: float = 0.0) -> None:
-        """Take a report on a target."""
+        """Record a target's health, reported by a probe here or by a peer."""
         with self._lock:
             self.health.add_report(
                 target,
@@ -311,24 +317,24 @@
             )
 
     def mark_leaving(self, target: str) -> None:
-        """Believe that a target leaves, whoever said so."""
+        """Mark a target as leaving, so that it is sent no new requests."""
         with self._lock:
             self.health.mark_leaving(target, now=time.monotonic())
 
     def mark_cold(self, target: str) -> None:
-        """Start a target's ramp."""
+        """Mark a target as cold, which starts its ramp."""
         with self._lock:
             self.health.mark_cold(target, now=time.monotonic())
 
     def is_leaving(self, target: str) -> bool:
-        """Check whether a target takes no new work."""
+        """Check whether a target leaves and so accepts no new requests."""
         with self._lock:
             known = self._snapshot.hall_targets.get(target) if self._snapshot else None
             said = known is not None and known.leaving
             return said or self.health.is_leaving(target, time.monotonic())
 
     def add_result(self, target: str, *, is_good: bool, latency_s: float = 0.0) -> None:
-        """Learn from a request's end."""
+        """Record a successful or failed answer in a target's health."""
         with self._lock:
             if is_good:
                 self.health.add_success(target, latency_s)
@@ -336,7 +342,7 @@
                 self.health.add_failure(target, now=time.monotonic())
 
     def add_shed(self, target: str) -> None:
-        """Learn that a target shed a request."""
+        """Record in a target's health that it shed a request."""
         with self._lock:
             self.health.add_shed(target, now=time.monotonic())
 
@@ -344,7 +350,7 @@
         """Count the own slots of every target of the hall."""
         now = time.monotonic()
         with self._lock:
-            # Peers ask for loans by these counts, also of an entry that nobody else asks.
+            # Peers choose lenders by these counts, so loans must expire here even without requests.
             self.slots.expire_loans(now)
             names = self._snapshot.hall_targets if self._snapshot else {}
             return {
@@ -365,7 +371,7 @@
 
 
 class SlotCount(NamedTuple):
-    """Own slots of one target: in all, free, busy and lent; and requests in flight."""
+    """This entry's slots of one target: total, free, busy and lent; and its requests in flight."""
 
     home: int
     free: int
@@ -375,12 +381,12 @@
 
 
 def _is_cold_full(view: TargetView, target: Target) -> bool:
-    """Check whether a cold target already has its share of work from this entry."""
+    """Check whether a cold target already has all requests that its ramp allows."""
     if view.ramp >= 1.0:
         return False
     return view.in_flight >= max(1, int(target.slots * view.ramp))
 
 
 def to_hold(target: str, index: int, lender: str, number: int, until: float) -> Hold:
-    """Build the hold of a borrowed slot."""
+    """Build the hold of a slot borrowed from ``lender`` under loan ``number``."""
     return Hold(SlotKey(target, index), lender, number, until)
--- a/halldoor/entry/loans.py
+++ b/halldoor/entry/loans.py
@@ -1,4 +1,4 @@
-"""Borrow idle slots from the hall's other entries, and return them."""
+"""A task that borrows idle slots from the hall's other entries, and returns them."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 LENDERS_ASKED = 3
 BORROW_TIMEOUT_S = 0.15
 EMPTY_PAUSE_S = 0.02
-"""Time for which a lender that had nothing is not asked again: refusals come in floods."""
+"""Seconds for which a lender without a free slot isn't asked again; overload brings many tries."""
 SILENT_PAUSE_S = 0.5
-"""The same for a lender that did not answer."""
+"""Seconds for which a lender that did not answer isn't asked again."""
 
 
 class Return(NamedTuple):
-    """A borrowed slot on its way back."""
+    """A borrowed slot to be returned to its lender; unusable until ``rest_until``."""
 
     hold: Hold
     rest_until: float
 
 
 class Loans(Task[Return]):
-    """Borrows at once, and returns in the background.
+    """Borrows slots in the calling thread, and returns them in the background.
 
     Parameters
     ----------
     me : str
         Name of this entry.
     peers : PeerPool
-        Connections.
+        Connections to other entries.
     list_lenders : callable
-        Lists the hall's other live entries with what they last said of their slots.
+        Lists the hall's other live entries with their last slot reports.
     find_entry : callable
         Finds an entry's addresses by name.
     """
@@ -60,16 +60,16 @@
         self._list_lenders = list_lenders
         self._find_entry = find_entry
         self._random = random.Random(me)
-        # Written by several request threads at once; the last word wins and does no harm.
+        # Request threads write it without a lock; a lost update only causes one extra call.
         self._pause_until: dict[str, float] = {}
         self.asked = 0
         self.borrowed = 0
 
     def borrow(self, targets: Sequence[str], until: float) -> Hold | None:
-        """Borrow a slot of the first target that a peer has one of.
+        """Borrow a slot of any of the targets from one of at most `LENDERS_ASKED` peers.
 
-        The loan is counted from before the question, so it ends here before it ends
-        at the lender, whatever the answer's delay.
+        The loan's time starts here before the call, so that it expires here before it expires
+        at the lender, however late the reply.
         """
         for lender in self._order_lenders(targets)[:LENDERS_ASKED]:
             entry = self._find_entry(lender)
@@ -96,7 +96,7 @@
         return None
 
     def _order_lenders(self, targets: Sequence[str]) -> list[str]:
-        """Order the peers by the idle slots they last reported, in random order where equal."""
+        """Order the peers by the free slots they last reported, most first, ties at random."""
         wanted = set(targets)
         lenders = self._list_lenders()
         self._random.shuffle(lenders)
@@ -104,11 +104,11 @@
         return sorted(free, key=lambda name: -free[name])
 
     def give_back(self, hold: Hold, rest_until: float) -> None:
-        """Return a borrowed slot; if the message is lost the loan lapses by itself."""
+        """Return a borrowed slot in the background; if the message is lost the loan expires."""
         self.tell(Return(hold, rest_until))
 
     def handle(self, messages: list[Return]) -> None:
-        """Return the slots that requests have finished with."""
+        """Return the borrowed slots of finished requests to their lenders."""
         for message in messages:
             entry = self._find_entry(message.hold.lender)
             if entry is None:
@@ -125,4 +125,4 @@
                     rest_ms=int(rest_s * 1000),
                 )
             except PeerError as exc:
-                self.log.info("Loan not returned; it lapses.", error=exc.message)
+                self.log.info("Could not return a borrowed slot; its loan will expire.", error=exc.message)
--- a/halldoor/entry/local.py
+++ b/halldoor/entry/local.py
@@ -1,4 +1,4 @@
-"""Serve a request at the targets of this entry's own hall."""
+"""Serve requests at the targets of this entry's own hall, with retries at other targets."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class LocalHall:
-    """Admits requests to the hall's targets and carries them there.
+    """Admits requests to the hall's targets, and sends them.
 
     Parameters
     ----------
     room : HallRoom
-        Slots, health and policy.
+        Admits requests by slots, health and policy.
     client : TargetClient
         Connections to targets.
     queue_s : float, optional
-        Time that a request of this entry's own callers may wait for a slot, also before it is
-        sent again.
+        Seconds that a request of this entry's own callers may wait for a slot, before the first
+        attempt and before each retry.
     """
 
     def __init__(self, room: HallRoom, client: TargetClient, *, queue_s: float = 0.0) -> None:
@@ -43,7 +43,7 @@
     def serve(
         self, targets: Sequence[str], request: Request, body: Body, *, is_spill: bool
     ) -> Result[Answer, HallRefusal]:
-        """Try targets until one answers, none is left, or the outcome is unknown."""
+        """Admit and send a request; retry at other targets where that is safe."""
         admitted = self.admit(targets, request, is_spill=is_spill, wait_s=self._queue_s)
         if isinstance(admitted, Failure):
             return admitted
@@ -54,7 +54,7 @@
     def admit(
         self, targets: Sequence[str], request: Request, *, is_spill: bool, wait_s: float = 0.0
     ) -> Result[Admission, HallRefusal]:
-        """Reserve room before any of the body crosses a link."""
+        """Reserve a target's slot, before any of the body is sent over a link between halls."""
         with self._budget_lock:
             self._budget.add_request()
         result = self._room.admit(targets, until=request.deadline, is_spill=is_spill, wait_s=wait_s)
@@ -70,7 +70,7 @@
         is_spill: bool,
         wait_s: float = 0.0,
     ) -> Result[Answer, HallRefusal]:
-        """Send an admitted request, and send it elsewhere where that is safe."""
+        """Send an admitted request; retry it at other targets where that is safe."""
         passed_over: list[PassedOver] = []
         tried: set[str] = set()
         for attempt in range(1, ATTEMPTS + 1):
@@ -103,7 +103,7 @@
     def _find_obstacle(
         self, request: Request, body: Body, refusal: Refusal, attempts: int
     ) -> RetryObstacle | None:
-        """Find what forbids another attempt; where nothing does, take from the budget."""
+        """Return what forbids a retry; if nothing does, spend one retry of the budget."""
         obstacle = find_obstacle(
             RetryFacts(
                 is_repeatable=request.is_repeatable,
@@ -120,7 +120,7 @@
             return None if self._budget.take_retry() else RetryObstacle.BUDGET
 
     def _send(self, admission: Admission, request: Request, body: Body) -> Answer:
-        """Send to one target and account for what comes of it."""
+        """Send to one target; release its slot and record its health from the result."""
         name = admission.target.name
         room = self._room
 
@@ -149,7 +149,7 @@
         return answer
 
     def _prefetch(self, name: str, answer: Answer, request: Request) -> None:
-        """Read the start of an answer while a retry is still possible."""
+        """Read the start of an answer, so that a break in it can be retried."""
         try:
             answer.prefetch(PREFETCH)
         except RequestError:
@@ -157,7 +157,7 @@
             raise
 
     def _learn(self, name: str, fault: Fault, request: Request) -> None:
-        """Tell health about a fault that was the target's."""
+        """Record a fault in the target's health, unless the caller's cancellation caused it."""
         if fault is Fault.SHED:
             self._room.add_shed(name)
         elif not request.cancellation.is_cancelled:
@@ -165,7 +165,7 @@
 
 
 def _to_refusal(fault: TargetFault, request: Request) -> Refusal:
-    """Return what a target's fault means for the caller."""
+    """Build the caller's refusal for a target's fault."""
     if fault.fault is Fault.SHED:
         return refuse(Reason.SHED, "The target is full and did not run it. Come back in a second.")
     if fault.fault is Fault.NOT_SENT:
--- a/halldoor/entry/orders.py
+++ b/halldoor/entry/orders.py
@@ -1,4 +1,4 @@
-"""Orders: requests that run at most once, by ticket or by the caller's own id."""
+"""Orders: requests that run at most once, identified by a ticket or by the caller's own id."""
 
 from __future__ import annotations
 
@@ -56,13 +56,13 @@
     serve : callable
         Routes a request.
     remote : RemoteEntry
-        The way to the issuers of other tickets.
+        Forwards orders to the entries that issued their tickets.
     peers : PeerPool
         Connections for calls to issuers.
     find_entry : callable
         Finds an entry of the configuration by name.
     invariants : Invariants
-        Counters of broken promises.
+        Counters of violated invariants.
     """
 
     def __init__(
@@ -87,17 +87,15 @@
         self._sent: set[int] = set()
         claims.on_new = self._open_line
 
-    # Tickets
-
     def _open_line(self, operation: str) -> None:
         """Issue the ticket of an id that this process has just claimed."""
         with self._lock:
             self._ledger.issue(operation, now=time.monotonic())
 
     def get_ticket(self, operation: str) -> Result[str, Refusal]:
-        """Issue a ticket; with a caller's own id it is the one ticket of that id.
+        """Issue a ticket; for a caller's own id always the same ticket.
 
-        Without an id no platform is needed, so this works in a hall that is cut off.
+        Without an id the platform isn't needed, so this works in a hall that is cut off from it.
         """
         if not operation:
             return self._issue("")
@@ -110,17 +108,17 @@
         return self._ask_ticket(holder, operation)
 
     def is_me(self, holder: Claim) -> bool:
-        """Check whether a claim is this process's."""
+        """Check whether a claim is held by this process."""
         return holder == Claim(self._ledger.issuer, self._ledger.incarnation)
 
     def issue_claimed(self, operation: str, incarnation: str) -> Result[str, Refusal]:
-        """Issue the ticket of an id that a peer found claimed by this process."""
+        """Issue the ticket of an id on behalf of a peer that found it claimed by this process."""
         if incarnation != self._ledger.incarnation:
             return Failure(refuse_gone())
         return self._issue(operation)
 
     def _issue(self, operation: str) -> Result[str, Refusal]:
-        """Issue a ticket from the own ledger; of an own id, the one issued when it was claimed."""
+        """Issue a ticket from this ledger; for an id, return the ticket issued when it was claimed."""
         if operation and not self._has_line(operation):
             return Failure(refuse_forgotten())
         with self._lock:
@@ -131,17 +129,17 @@
         return Success(text)
 
     def _has_line(self, operation: str) -> bool:
-        """Check whether the ledger knows an id that this process has claimed.
+        """Check whether the ledger contains an id that this process has claimed.
 
-        The claim is visible to others an instant before its line is; the claims
-        task takes requests in turn, so asking it again waits for that.
+        Other entries can see the claim shortly before its ledger entry exists.  The claims
+        task handles requests in order, so a second claim request waits until it does.
         """
         if self._ledger.find(operation) is None:
             self._claims.ask(operation)
         return self._ledger.find(operation) is not None
 
     def _ask_ticket(self, holder: Claim, operation: str) -> Result[str, Refusal]:
-        """Get the ticket of an id from the process that holds its claim."""
+        """Fetch the ticket of an id from the process that holds its claim."""
         entry = self._find_entry(holder.issuer)
         if entry is None:
             return Failure(refuse_gone())
@@ -160,7 +158,7 @@
         return Success(reply.ticket)
 
     def _find_holder(self, operation: str, *, is_order: bool) -> Result[Claim, Refusal]:
-        """Claim an id, or learn who holds it."""
+        """Claim an id for this process, and return the process that holds the claim."""
         if parse_time_ms(operation) is None:
             message = (
                 f"Operation-Id {operation[:60]!r} is no version 7 UUID in lower case. "
@@ -176,8 +174,6 @@
             return Failure(refuse_unknown(Reason.TICKET_USED, message))
         return Success(holder)
 
-    # Orders
-
     def run(self, request: Request, body: Body, ticket: str) -> Outcome:
         """Run an order that a caller sent to this entry.
 
@@ -207,15 +203,15 @@
         return self._forward_claimed(holder, request, body)
 
     def _forward_claimed(self, holder: Claim, request: Request, body: Body) -> Outcome:
-        """Pass an order by own id to the process that holds its claim."""
+        """Forward an order with a caller's own id to the process that holds its claim."""
         entry = self._find_entry(holder.issuer)
         if entry is None:
             return Failure(refuse_gone())
-        # The incarnation goes in the ticket's place, so that a restarted entry refuses.
+        # The incarnation is sent in the ticket field, so that a restarted entry refuses.
         return self._forward(entry, request, body, f"{_CLAIM_PREFIX}{holder.incarnation}")
 
     def _run_with_ticket(self, request: Request, body: Body, text: str) -> Outcome:
-        """Run an order by its ticket, here or at its issuer."""
+        """Run an order by its ticket: here, or at the entry that issued the ticket."""
         read = decode_ticket(text)
         if read is None:
             return Failure(refuse_ticket("It can't be read."))
@@ -234,7 +230,7 @@
         return self._take_and_run(ticket, request, body)
 
     def run_forwarded(self, request: Request, body: Body, text: str) -> Outcome:
-        """Run an order that another entry passed on to this issuer; it goes no further."""
+        """Run an order that another entry forwarded to this issuer; never forward it again."""
         if text.startswith(_CLAIM_PREFIX):
             if text[len(_CLAIM_PREFIX) :] != self._ledger.incarnation:
                 return Failure(refuse_gone())
@@ -245,11 +241,11 @@
         return self._run_with_ticket(request, body, text)
 
     def run_claimed(self, request: Request, body: Body) -> Outcome:
-        """Run an order without a ticket whose id this process holds the claim of.
+        """Run an order that has no ticket, and whose id this process has claimed.
 
-        Only the first attempt runs this way.  After a refusal as not run, the next
-        attempt needs the fresh ticket that came with it: a late copy of the first
-        call must not run once its caller was told no.
+        Only the first attempt can run without a ticket.  After a "not run" refusal, the next
+        attempt needs the new ticket in that refusal: a late copy of the first call must
+        not run after its caller received the refusal.
         """
         operation = request.operation_id
         if not self._has_line(operation):
@@ -265,19 +261,19 @@
         return self._take_and_run(line.ticket, request, body)
 
     def _forward(self, entry: EntryHost, request: Request, body: Body, ticket: str) -> Outcome:
-        """Pass an order to its issuer."""
+        """Forward an order to the entry that issued its ticket or holds its claim."""
         result = self._remote.send([entry], request, body, kind=TO_ISSUER, ticket=ticket)
         if isinstance(result, Success):
             return Success(result.unwrap())
         failure: HallRefusal = result.failure()
         refusal = failure.refusal
         if refusal.reason == Reason.BROKEN and refusal.ran == Ran.NOT_RUN:
-            # This call reached nobody, but an earlier one with the ticket may have.
+            # This call reached no entry, but an earlier one with the ticket may have.
             return Failure(refuse_unreachable(entry.name))
         return Failure(refusal)
 
     def _take_and_run(self, ticket: Ticket, request: Request, body: Body) -> Outcome:
-        """Take the ticket and run the order, or give its first outcome again."""
+        """Mark the ticket as used and run the order, or return the outcome of its first run."""
         with self._lock:
             taken = self._ledger.take(ticket, now=time.monotonic())
             if isinstance(taken, Refusal):
@@ -300,7 +296,7 @@
                 self._settle(ticket, refuse_unknown(Reason.BROKEN, message))
 
     def _send(self, ticket: Ticket, request: Request, body: Body) -> Outcome:
-        """Route the order and record its outcome."""
+        """Route the order and record its outcome in the ledger."""
         result = self._serve(request, body)
         if isinstance(result, Failure):
             refused = result.failure()
@@ -319,14 +315,14 @@
             return self._ledger.settle_unknown(ticket, refusal)
 
     def _add_ticket(self, ticket: Ticket, refusal: Refusal) -> Refusal:
-        """Add a fresh ticket to a refusal after which trying again makes sense."""
+        """Add a new ticket to a "not run" refusal, so that the caller can retry."""
         if refusal.ran != Ran.NOT_RUN:
             return refusal
         fresh = self._ledger.renew(ticket.operation, now=time.monotonic())
         return refusal._replace(ticket=fresh)
 
     def _keep(self, ticket: Ticket, answer: Answer) -> Answer:
-        """Pass the answer on and keep it, if small, for repeats of the call."""
+        """Return a copy of the answer that also stores it, if small, for repeats of the call."""
         parts: list[bytes] = []
 
         def copy() -> Iterator[bytes]:
@@ -353,7 +349,7 @@
 
         copied = Answer(answer.status, answer.headers, copy(), target=answer.target, on_end=end)
         copied.attempts, copied.passed_over = answer.attempts, answer.passed_over
-        # Read a small answer now: then a caller that goes away can't spoil the kept one.
+        # Read a small answer now, so that the stored one is complete even if the caller disconnects.
         try:
             copied.prefetch(KEPT_BODY)
         except RequestError as exc:
@@ -365,7 +361,7 @@
         return copied
 
     def count_running(self) -> int:
-        """Count the orders that are under way."""
+        """Count the orders that are running."""
         with self._lock:
             return self._ledger.count_running()
 
@@ -374,13 +370,13 @@
 
 
 def _has_no_body(answer: Answer) -> bool:
-    """Check whether the answer says that it has no body."""
+    """Check whether the answer's status or length declares an empty body."""
     lengths = [v for k, v in answer.headers if k.lower() == "content-length"]
     return answer.status == 204 or lengths == ["0"]
 
 
 def _to_answer(line: Entry) -> Answer:
-    """Return the kept answer again."""
+    """Build an answer from the stored one, marked as a repeat."""
     kept = line.answer
     assert kept is not None
     headers = (*kept.headers, ("Halldoor-Repeated", "yes"))
--- a/halldoor/entry/outcome.py
+++ b/halldoor/entry/outcome.py
@@ -1,4 +1,4 @@
-"""What one attempt in one hall led to."""
+"""The refusal of a request by one hall."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class HallRefusal(NamedTuple):
-    """A hall gave no answer.
+    """A hall did not answer a request.
 
     Attributes
     ----------
     refusal : Refusal
-        Why, and whether the request may have run.
+        The reason, and whether the request may have run.
     passed_over : list of PassedOver
-        The hall's candidates.
+        The hall's targets that were not used, and why.
     target : str
-        Target that was tried last, or empty.
+        Target that was tried last; empty if none was.
     attempts : int
-        Sends to targets.
+        Number of sends to targets.
     """
 
     refusal: Refusal
--- a/halldoor/entry/remote.py
+++ b/halldoor/entry/remote.py
@@ -1,4 +1,4 @@
-"""Carry a request through an entry of another hall."""
+"""Forward requests through entries of other halls."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from halldoor.wire.protocol import CHUNK_BYTES, idl
 
 TO_TARGET, TO_ISSUER = 0, 1
-"""Kinds of forwarded request: for a target of the hall, for the issuer of its ticket."""
+"""Kinds of forwarded request: to a target of the hall, or to the issuer of its ticket."""
 AVOID_S = 2.0
-"""Time for which an entry that could not be reached is tried last."""
+"""Seconds for which an unreachable entry is tried last."""
 CLOCK_ALLOWANCE_S = 0.3
-"""Time past the deadline in which the other entry's own refusal may still arrive."""
+"""Seconds after the deadline in which the other entry's refusal may still arrive."""
 
 
 class RemoteEntry:
@@ -38,7 +38,7 @@
     Parameters
     ----------
     peers : PeerPool
-        Connections.
+        Connections to other entries.
     """
 
     def __init__(self, peers: PeerPool) -> None:
@@ -47,7 +47,7 @@
         self._avoid: dict[str, float] = {}
 
     def order(self, entries: list[EntryHost]) -> list[EntryHost]:
-        """Put the entries that could not be reached lately last."""
+        """Order entries so that recently unreachable ones come last."""
         now = time.monotonic()
         with self._lock:
             return sorted(entries, key=lambda e: self._avoid.get(e.name, 0.0) > now)
@@ -76,7 +76,7 @@
         kind : int
             `TO_TARGET` or `TO_ISSUER`.
         selector : str, optional
-            Targets that are allowed.
+            Selects the allowed targets.
         ticket : str, optional
             The order's ticket.
         is_spill : bool, optional
@@ -95,7 +95,7 @@
         return Failure(HallRefusal(refusal, []))
 
     def _note_unreachable(self, entry: EntryHost) -> None:
-        """Try an entry last for a while."""
+        """Try an entry last for `AVOID_S`."""
         with self._lock:
             self._avoid[entry.name] = time.monotonic() + AVOID_S
 
@@ -152,7 +152,7 @@
     def _to_answer(
         self, entry: EntryHost, connection: PeerConnection, started: Any, request: Request
     ) -> Answer:
-        """Wrap the peer's answer."""
+        """Build the answer from the peer's reply; its body is read from the connection."""
         head = started.answer
         pieces = _read_pieces(connection, head, request)
 
@@ -191,7 +191,7 @@
 
 
 def _read_pieces(connection: PeerConnection, head: Any, request: Request) -> Iterator[bytes]:
-    """Read the body of a forwarded answer; chunks must come in order and to the last."""
+    """Yield the body of a forwarded answer; a missing or unordered chunk raises."""
     index, data, is_last = head.index or 0, head.data or b"", head.last
     while True:
         if data:
@@ -213,7 +213,7 @@
 
 
 def _to_refusal(exc: PeerError, request: Request) -> Refusal:
-    """Return what a peer's fault means; the peer may have had the request sent already."""
+    """Build the refusal for a peer's error; the peer may already have sent the request."""
     retry_after_s = 1.0 if request.is_repeatable else 0.0
     if request.cancellation.is_cancelled:
         return refuse_unknown(Reason.CANCELLED, "The caller went away.")
@@ -225,5 +225,5 @@
 
 
 def is_final(refusal: Refusal, request: Request) -> bool:
-    """Check whether a refusal ends the request, since another try might run it twice."""
+    """Check whether a refusal forbids another try, since that might run the request twice."""
     return refusal.ran == Ran.UNKNOWN and not request.is_repeatable
--- a/halldoor/entry/request.py
+++ b/halldoor/entry/request.py
@@ -1,4 +1,4 @@
-"""A request on its way, its body, its cancellation and its answer."""
+"""A request with its body and cancellation, and the answer to it."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 Headers = tuple[tuple[str, str], ...]
 SMALL_BODY = 65_536
-"""Bodies up to this many bytes are read before routing, and can be sent again."""
+"""Bodies up to this many bytes are read before routing, so that they can be sent again."""
 
 DEADLINE_STEP_S = 0.001
-"""Step of deadlines that are passed on, in seconds: rounded down, theirs end so much earlier."""
+"""Resolution, in seconds, of forwarded deadlines; rounding down ends them up to this much early."""
 
 _HOP_BY_HOP = frozenset(
     {
@@ -36,7 +36,7 @@
 
 
 class RequestError(Exception):
-    """A request can't go on; carries the refusal that says why."""
+    """A request failed; carries the refusal for the caller."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -44,7 +44,7 @@
 
 
 class Cancellation:
-    """Tells the parties to a request that nobody waits for it any more."""
+    """Cancels a request that its caller has abandoned, by calling the attached closers."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -52,7 +52,7 @@
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Cancel, and close whatever the request is waiting on."""
+        """Cancel the request, and close the connections that it waits on."""
         with self._lock:
             self.is_cancelled = True
             closers, self._closers = self._closers, []
@@ -61,7 +61,7 @@
                 close()
 
     def attach(self, close: Callable[[], None]) -> None:
-        """Call ``close`` on cancellation; at once where it came already."""
+        """Register a function to call on cancellation; call it now if already cancelled."""
         with self._lock:
             if not self.is_cancelled:
                 self._closers.append(close)
@@ -69,28 +69,28 @@
         close()
 
     def detach(self, close: Callable[[], None]) -> None:
-        """Forget a closer."""
+        """Remove an attached closer."""
         with self._lock, contextlib.suppress(ValueError):
             self._closers.remove(close)
 
 
 class Request(NamedTuple):
-    """What is known of a request once it was read.
+    """A request of a caller, as read or as forwarded by another entry.
 
     Attributes
     ----------
     id : str
         Decision id.
     path : str
-        Path and query below the service, as the target gets it.
+        Path and query below the service, as sent to the target.
     deadline : float
         Monotonic seconds at this entry.
     length : int
-        Body bytes; -1 where the caller sends chunks.
+        Body length in bytes; -1 if the caller sends chunks.
     client : str
-        Client block, the unit that shifts move.
+        Client block; traffic shifts move whole client blocks.
     is_repeatable : bool
-        Whether it may be sent again when nobody knows what became of it.
+        Whether it may be sent again when its first outcome is unknown.
     operation_id : str
         Id under which an order runs at most once; empty for reads.
     """
@@ -109,27 +109,27 @@
     cancellation: Cancellation
 
     def get_remaining_s(self) -> float:
-        """Return the time left."""
+        """Return the seconds left until the deadline; negative after it."""
         return self.deadline - time.monotonic()
 
     def has_expired(self) -> bool:
-        """Check whether the time is up, here or at whom the deadline was passed on to.
+        """Check whether the deadline has passed, here or at the process that it was forwarded to.
 
-        Without the step, a target that ended at its deadline just before this entry's own was
-        told to the caller as broken.
+        `DEADLINE_STEP_S` is needed because a target stops at its rounded-down deadline, which
+        without it was reported to the caller as a broken connection.
         """
         return self.get_remaining_s() <= DEADLINE_STEP_S
 
 
 class Body:
-    """The body of a request: whole in memory where small, else a stream read once.
+    """The body of a request: in memory if small, otherwise a stream that is read once.
 
     Parameters
     ----------
     data : bytes
         The whole body, or its first part.
     rest : iterator of bytes, optional
-        The parts that follow.
+        The parts after ``data``.
     """
 
     def __init__(self, data: bytes = b"", rest: Iterator[bytes] | None = None) -> None:
@@ -139,16 +139,16 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether all of it is in memory."""
+        """Whether the whole body is in memory."""
         return self._rest is None
 
     @property
     def can_repeat(self) -> bool:
-        """Whether it can still be sent from its start."""
+        """Whether the body can still be sent from its start."""
         return self.is_whole or not self._is_taken
 
     def read(self) -> Iterator[bytes]:
-        """Return the parts; a streamed body only once."""
+        """Yield the parts of the body; a streamed body can be read only once."""
         self._is_taken = True
         if self.data:
             yield self.data
@@ -157,7 +157,7 @@
 
 
 class Answer:
-    """An answer on its way back.
+    """An answer whose body is still being read.
 
     Parameters
     ----------
@@ -166,9 +166,9 @@
     headers : tuple of (str, str)
         End-to-end headers.
     pieces : iterator of bytes
-        The body; raises `RequestError` where it breaks off.
+        The body; raises `RequestError` if the connection breaks.
     on_end : callable
-        Called once, with whether the body came to its end.
+        Called once when reading ends, with whether the body was read completely.
     """
 
     def __init__(
@@ -191,11 +191,11 @@
         self._is_ended = False
 
     def add_end(self, on_end: Callable[[bool], None]) -> None:
-        """Call something more at the end."""
+        """Add a function to call once when reading ends."""
         self._on_end.append(on_end)
 
     def prefetch(self, limit: int) -> None:
-        """Read up to ``limit`` bytes ahead, so that an early break can be retried."""
+        """Read about ``limit`` bytes ahead, so that a break in them can be retried."""
         size = 0
         while size < limit and not self._is_ended:
             piece = self._read()
@@ -204,7 +204,7 @@
                 size += len(piece)
 
     def _read(self) -> bytes:
-        """Read one piece; empty at the end."""
+        """Read one piece; empty at the end of the body."""
         try:
             piece = next(self._pieces, b"")
         except BaseException:
@@ -223,11 +223,11 @@
                 yield piece
 
     def close(self) -> None:
-        """Give up the rest; a no-op after the end."""
+        """Discard the unread body; does nothing once the answer was read completely."""
         self._end(False)
 
     def _end(self, is_whole: bool) -> None:
-        """Tell everyone, once."""
+        """Call the end callbacks, once."""
         if self._is_ended:
             return
         self._is_ended = True
@@ -236,15 +236,15 @@
 
 
 def keep_end_to_end(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Drop headers that concern one connection only."""
+    """Return the headers without those that apply to one connection only (hop-by-hop)."""
     return tuple((k, v) for k, v in headers if k.lower() not in _HOP_BY_HOP)
 
 
 def find_header(headers: Headers, name: str) -> str:
-    """Find a header by its lower-case name; empty where it is missing."""
+    """Return the value of a header by its lower-case name; empty if it is missing."""
     return next((v for k, v in headers if k.lower() == name), "")
 
 
 def break_off(message: str) -> RequestError:
-    """Build the error of a request that broke after it may have run."""
+    """Build the error of a request whose connection broke after it may have run."""
     return RequestError(refuse_unknown(Reason.BROKEN, message, retry_after_s=1.0))
--- a/halldoor/entry/targets.py
+++ b/halldoor/entry/targets.py
@@ -1,4 +1,4 @@
-"""Connections to targets: what was sent, and what came back whole."""
+"""Connections to targets: send a request at most once, and detect incomplete answers."""
 
 from __future__ import annotations
 
@@ -20,24 +20,25 @@
 
 PIECE = 65_536
 PREFETCH = 131_072
-"""Bytes of a repeatable answer read before it is passed on, so that a break can be retried."""
+"""Bytes of a repeatable request's answer read before it is passed on, so that a break can be
+retried."""
 STALL_SHARE = 0.4
-"""Share of the time left when an answer begins after which silence counts as a break.
+"""Share of the time left when an answer begins, after which silence counts as a broken answer.
 
-A request may use its whole deadline before the answer begins; it once was cut at a share
-of that, and slow requests that fitted their deadline failed.
+Waiting for the head of the answer may use the whole deadline: a limit on that, too, made
+slow requests fail that would have met their deadline.
 """
 CONNECT_TIMEOUT_S = 0.5
 SHED_HEADER = "Target-Shed"
 SHED_MARKER = "not-run"
 IDLE_LIMIT_S = 4.0
-"""Idle connections older than this are closed: targets close theirs soon after."""
+"""Idle connections older than this are closed; targets close them soon after."""
 
 _FAULTS = (HTTPError, HTTPException, OSError, ValueError)
 
 
 class Fault(Enum):
-    """What is known when a target gave no answer."""
+    """What is known of a request that a target did not answer."""
 
     NOT_SENT = "not sent"
     SHED = "shed"
@@ -45,7 +46,7 @@
 
 
 class TargetFault(Exception):
-    """A target gave no answer to a request."""
+    """A target did not answer a request."""
 
     def __init__(self, fault: Fault, message: str) -> None:
         super().__init__(message)
@@ -53,11 +54,11 @@
 
 
 class TargetClient:
-    """Sends requests to targets; never twice, never by redirect.
+    """Sends requests to targets, each once, without following redirects.
 
-    A connection is reused only after a whole answer, so that a late one can't
-    cross into another request.  What must not repeat goes on a fresh connection:
-    on an idle one that the target closes just then, nobody could tell whether it ran.
+    A connection is reused only after a complete answer, so that a late answer can't be
+    taken for another request's.  A request that must not repeat uses a new connection: if the
+    target closes an idle one just then, it is unknown whether the request ran.
     """
 
     def __init__(self) -> None:
@@ -72,30 +73,30 @@
         Parameters
         ----------
         target : Target
-            Where to.
+            Target to send to.
         request : Request
-            What.
+            Request to send.
         body : Body
             Its body.
         may_send : callable
-            Asked once the connection stands, just before the first byte goes.
+            Checks, once connected and just before the first byte, whether sending is allowed.
 
         Returns
         -------
         tuple of Answer and float
-            The answer, and the seconds until its head came.
+            The answer, and the seconds until its head arrived.
 
         Raises
         ------
         TargetFault
-            Where no answer came.
+            If no answer arrived.
         """
         connection = self._open(target, request)
         try:
             if not may_send():
                 raise TargetFault(Fault.NOT_SENT, "the right to send had lapsed")
             started = time.monotonic()
-            # The library lets go of its socket with an answer that closes the connection.
+            # With an answer that closes the connection, the library drops its reference to the socket.
             sock = connection.sock
             response = self._exchange(connection, sock, request, body)
         except BaseException:
@@ -105,7 +106,7 @@
         return answer, time.monotonic() - started
 
     def _open(self, target: Target, request: Request) -> HTTPConnection:
-        """Return a connected connection."""
+        """Return an idle connection for a repeatable request, or connect a new one."""
         if request.is_repeatable:
             connection = self._take_idle(target)
             if connection is not None:
@@ -123,7 +124,7 @@
         return connection
 
     def _take_idle(self, target: Target) -> HTTPConnection | None:
-        """Take an idle connection that the target has not closed."""
+        """Remove and return an idle connection that the target has not closed."""
         now = time.monotonic()
         while True:
             with self._lock:
@@ -137,10 +138,10 @@
             connection.close()
 
     def _exchange(self, connection: HTTPConnection, sock: Any, request: Request, body: Body) -> Any:
-        """Send everything and read the head of the answer."""
+        """Send the request with its body and read the head of the answer."""
 
         def cancel() -> None:
-            # Closing alone would not wake the thread that waits on it.
+            # close() alone would not wake the thread that waits on the socket.
             sock.shutdown(socket.SHUT_RDWR)
 
         request.cancellation.attach(cancel)
@@ -154,11 +155,11 @@
                 preload_content=False,
                 decode_content=False,
             )
-            # The library puts its own time-out on the socket again before it reads.
+            # The library sets its own timeout on the socket again before it reads.
             connection.timeout = max(0.001, request.get_remaining_s())
             return connection.getresponse()
         except _FAULTS as exc:
-            # Nothing tells how much of it arrived, so it may have run.
+            # It is unknown how much of the request arrived, so it may have run.
             raise TargetFault(Fault.MAYBE_RAN, f"no answer: {type(exc).__name__}") from exc
         finally:
             request.cancellation.detach(cancel)
@@ -171,7 +172,7 @@
         response: urllib3.BaseHTTPResponse,
         request: Request,
     ) -> Answer:
-        """Wrap the response; shed requests become faults."""
+        """Build the answer of a response; raise `TargetFault` if the target shed the request."""
         is_shed = response.status == 503 and response.headers.get(SHED_HEADER) == SHED_MARKER
         if is_shed:
             connection.close()
@@ -195,7 +196,7 @@
         )
 
     def _keep(self, target: Target, connection: HTTPConnection) -> None:
-        """Keep a connection for the next request."""
+        """Keep an idle connection for the next request, at most one per slot of the target."""
         with self._lock:
             idle = self._idle.setdefault(target.name, [])
             if len(idle) < target.slots:
@@ -213,17 +214,17 @@
 
 
 def keep_answer_headers(response: urllib3.BaseHTTPResponse) -> tuple[tuple[str, str], ...]:
-    """Keep the end-to-end headers of an answer, with its length where it is known."""
+    """Return the end-to-end headers of an answer, with its length if known."""
     headers = keep_end_to_end(response.headers.items())
     length = response.headers.get("Content-Length")
     return headers if length is None else (*headers, ("Content-Length", length))
 
 
 def _build_headers(request: Request, body: Body) -> dict[str, str]:
-    """Build the headers for the target."""
+    """Build the headers of the request to the target."""
     headers = dict(request.headers)
     headers["Halldoor-Decision"] = request.id
-    # The target is to stop a little before the slot is given to another.
+    # The target must stop a little before its slot is used for another request.
     headers["Halldoor-Deadline-Ms"] = str(max(1, int(request.get_remaining_s() * 1000)))
     if request.operation_id:
         headers["Operation-Id"] = request.operation_id
@@ -237,14 +238,14 @@
 
 
 def _guard(body: Body, request: Request, connection: HTTPConnection) -> Any:
-    """Return the body in a form that the library sends once and within the deadline."""
+    """Return the body for the library: bytes, or an iterator that enforces the deadline."""
     if body.is_whole:
         return body.data or None
     return _guard_pieces(body, request, connection)
 
 
 def _guard_pieces(body: Body, request: Request, connection: HTTPConnection) -> Iterator[bytes]:
-    """Return the pieces of a streamed body until the deadline."""
+    """Yield the pieces of a streamed body; raise `TimeoutError` after the deadline."""
     for piece in body.read():
         remaining_s = request.get_remaining_s()
         if remaining_s <= 0 or connection.sock is None:
@@ -254,7 +255,7 @@
 
 
 def _read_pieces(response: Any, sock: Any, request: Request) -> Iterator[bytes]:
-    """Read the body piece by piece; a short one is an error, never an end."""
+    """Yield the pieces of an answer's body; a truncated body raises `RequestError`."""
     stall_s = request.get_remaining_s() * (STALL_SHARE if request.is_repeatable else 1.0)
     size = 0
     while True:
