--- a/halldoor/entry/__init__.py
+++ b/halldoor/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks of the entry process: look-ups, requests, targets, membership, configuration."""
+"""The entry process: look-ups, requests, targets, membership and configuration."""
--- a/halldoor/entry/activity.py
+++ b/halldoor/entry/activity.py
@@ -1,4 +1,4 @@
-"""Count the requests that an entry has anything to do with, so that it stops after the last."""
+"""Count of running requests, so that a stopping entry exits only after the last one."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class Activity:
-    """A count of requests under way, from their first byte to the last of their answer."""
+    """Thread-safe count of running requests, from their first byte to their answer's last."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._count = 0
 
     def begin(self) -> None:
-        """Count a request in."""
+        """Count a request as running."""
         with self._lock:
             self._count += 1
 
     def end(self) -> None:
-        """Count a request out."""
+        """Count a request as finished."""
         with self._lock:
             self._count -= 1
 
     @property
     def count(self) -> int:
-        """Requests under way."""
+        """Number of running requests."""
         with self._lock:
             return self._count
--- a/halldoor/entry/cancel.py
+++ b/halldoor/entry/cancel.py
@@ -1,4 +1,4 @@
-"""A task that watches callers' connections and cancels what nobody waits for."""
+"""A thread that detects callers who disconnect, so that their requests are cancelled."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from contextlib import contextmanager
 
 CHECK_S = 1.0
-"""Time after which the thread looks whether it is to stop."""
+"""Seconds between checks whether the thread must stop."""
 
 
 class CallerWatcher:
-    """Calls back when the other side of a watched socket closes it.
+    """Calls a callback when the peer of a watched socket closes it.
 
-    A new socket is seen by the thread that waits in epoll without waking it.
+    Sockets can be added while the thread waits in epoll; it needn't be woken for that.
     """
 
     def __init__(self) -> None:
@@ -27,16 +27,16 @@
         self._thread = threading.Thread(target=self._run, name="caller-watcher", daemon=True)
 
     def start(self) -> None:
-        """Start watching."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop watching, within `CHECK_S`."""
+        """Stop the thread within `CHECK_S`."""
         self._is_stopped = True
 
     @contextmanager
     def watch(self, sock: socket.socket | None, on_close: Callable[[], None]) -> Iterator[None]:
-        """Watch a socket for the length of a block."""
+        """Watch a socket during a ``with`` block; call ``on_close`` if its peer closes it."""
         number = sock.fileno() if sock is not None else -1
         if number < 0:
             yield
@@ -57,10 +57,11 @@
                     self._epoll.unregister(number)
 
     def _take_if_closed(self, number: int) -> Callable[[], None] | None:
-        """Stop watching a socket whose other side has closed; gives its callback.
+        """If a socket's peer has closed it, stop watching it and return its callback.
 
-        Between the event and this look the number may have gone to another caller's socket.  Under
-        the lock it can't: whoever closes a watched socket forgets it first.
+        The file descriptor is polled again because, since the event, its number may have been
+        reused for another caller's socket.  Under the lock that can't happen: a watched socket
+        is removed here before it is closed.
         """
         with self._lock:
             if number not in self._watched:
@@ -73,7 +74,7 @@
             return self._watched.pop(number)
 
     def _run(self) -> None:
-        """Wait for sockets that end."""
+        """Call the callbacks of sockets whose peers have closed them."""
         while not self._is_stopped:
             for number, _ in self._epoll.poll(CHECK_S):
                 on_close = self._take_if_closed(number)
--- a/halldoor/entry/claims.py
+++ b/halldoor/entry/claims.py
@@ -24,7 +24,7 @@
 
 TRIES = 6
 PAUSE_S = 0.3
-"""Longest time after a slow failure in which claim requests fail at once instead of waiting."""
+"""Most seconds after a slow failure in which claim requests fail at once, without waiting."""
 WAIT_S = 3.0
 
 Holder = Result[Claim | None, PlatformError]
@@ -62,7 +62,7 @@
         super().__init__("claims", period_s=1.0)
         self._platform = platform
         self._me = me
-        # Shard and version after the last write; saves a read if no other process has written since.
+        # Shard and version after the last write; saves a read if no other process wrote since.
         self._known: dict[int, tuple[Shard, int]] = {}
         # Ids whose claim may have been written although the write failed here.
         self._uncertain: set[str] = set()
@@ -88,7 +88,7 @@
         for shard, requests in by_shard.items():
             operations = {r.operation for r in requests}
             if time.monotonic() < self._down_until:
-                error = PlatformError("The platform failed just now.", remedy="Come back.")
+                error = PlatformError("The platform failed just now.", remedy="Retry later.")
                 for request in requests:
                     request.reply.put(Failure(error))
                 continue
@@ -96,7 +96,7 @@
             try:
                 holders = self._claim(shard, operations)
             except PlatformError as exc:
-                # Fail fast for half as long as the failed call took: an instant failure delays no retry.
+                # Fail fast for half the failed call's time, so an instant failure blocks nothing.
                 now = time.monotonic()
                 self._down_until = now + min(PAUSE_S, (now - started) / 2)
                 self._known.pop(shard, None)
--- a/halldoor/entry/configuration.py
+++ b/halldoor/entry/configuration.py
@@ -1,8 +1,8 @@
-"""A task that keeps the newest configuration in force.
+"""A task that fetches and applies the newest configuration.
 
-A few relays per hall watch the platform and announce; the others fetch from them.
-Gossip carries revisions, so whoever missed an announcement catches up from any
-peer that is ahead, in its own hall or another.
+A few relay entries per hall watch the platform and announce new revisions; the others fetch
+from them.  Gossip carries revisions as well, so an entry that missed an announcement catches
+up from any peer with a newer one, in its own hall or another.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 
 
 class Newer(NamedTuple):
-    """A peer has a higher revision."""
+    """A message that a peer has a newer revision."""
 
     revision: int
     address: Address
 
 
 class ConfigurationTask(Task[Newer]):
-    """Owns the head, the parts and the table of client blocks.
+    """Keeps the configuration's head, its parts and the table of client blocks.
 
     Parameters
     ----------
@@ -58,15 +58,15 @@
     platform : Platform
         The key-value service.
     peers : PeerPool
-        Connections.
+        Connections to other entries.
     gossip : GossipTask
-        Membership, for the choice of relays.
+        Membership, from which relays are chosen.
     invariants : Invariants
-        Counters of broken promises.
+        Counters of violated invariants.
     on_snapshot : callable
         Called with each new snapshot, in order.
     rotate_relays : bool, optional
-        Choose other relays for every revision; the settings' default is not to.
+        Whether each revision chooses other relays; off by default in the settings.
     """
 
     def __init__(
@@ -108,12 +108,10 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force; 0 before the first."""
+        """The revision in force; 0 if none is yet."""
         head = self._head
         return head.revision if head is not None else 0
 
-    # Watching the platform
-
     def _watch(self) -> None:
         """Watch the platform while this entry is a relay."""
         while not self.is_stopping:
@@ -134,30 +132,33 @@
                     time.sleep(RETRY_S)
             except (PlatformError, msgspec.MsgspecError) as exc:
                 self._gossip.set_flags(sees_platform=False)
-                self.log.info("Platform not seen.", error=str(exc)[:200])
+                self.log.info(
+                    "Could not read the configuration from the platform; will retry.",
+                    error=str(exc)[:200],
+                )
                 time.sleep(RETRY_S * self._random.uniform(0.5, 1.5))
             except HalldoorError as exc:
-                self.log.warning("Revision not taken.", error=str(exc)[:300])
+                self.log.warning(
+                    "A new configuration revision could not be applied.", error=str(exc)[:300]
+                )
                 time.sleep(RETRY_S)
 
     def choose_relays(self) -> list[str]:
-        """Choose who watches the platform for this hall."""
+        """Choose the entries that watch the platform for this hall."""
         return self._gossip.choose_relays(self.revision if self._rotate_relays else 0)
 
     def is_relay(self) -> bool:
-        """Check whether this entry is to watch; one that knows nothing always is."""
+        """Check whether this entry watches the platform; without a configuration it always does."""
         return self._head is None or self._me in self.choose_relays()
 
     def _fetch_from_platform(self, wanted: str) -> bytes:
-        """Fetch a part by digest from the platform."""
+        """Fetch a part by digest from the platform; empty if it is missing there."""
         self.platform_calls += 1
         value = self._platform.get(PART_PREFIX + wanted)
         return value.data if value is not None else b""
 
-    # Learning from peers
-
     def hear(self, revision: int, sender: str) -> int:
-        """Take a peer's announcement; the answer is the revision in force here."""
+        """Queue a fetch of an announced newer revision, and return the revision in force here."""
         snapshot = self._snapshot
         entry = find_entry(snapshot, sender) if snapshot is not None else None
         if revision > self.revision and entry is not None:
@@ -165,18 +166,18 @@
         return self.revision
 
     def hear_gossip(self, revision: int, address: Address) -> None:
-        """Take a revision that came with a heartbeat."""
+        """Queue a fetch from a peer whose gossip message carried a newer revision."""
         if revision > self.revision:
             self.tell(Newer(revision, address))
 
     def handle(self, messages: list[Newer]) -> None:
-        """Catch up from the peers that are ahead."""
+        """Fetch the configuration from the peers with newer revisions, newest first."""
         for message in sorted(messages, key=lambda m: -m.revision):
             if message.revision > self.revision:
                 self._catch_up(message.address)
 
     def _catch_up(self, address: Address) -> None:
-        """Fetch a peer's head and the parts that are missing here."""
+        """Fetch a peer's head and the parts that are missing here, and apply them."""
         try:
             with self._peers.use(address) as connection:
                 message = connection.call("get_head", timeout_s=1.0)
@@ -191,14 +192,18 @@
                 self._adopt(head, fetch)
                 self._head_version = max(self._head_version, message.platform_version)
         except (PeerError, PlatformError, msgspec.MsgspecError) as exc:
-            self.log.info("Could not catch up.", peer=str(address), error=str(exc)[:200])
+            self.log.info(
+                "Could not fetch the configuration from a peer.",
+                peer=str(address),
+                error=str(exc)[:200],
+            )
         except HalldoorError as exc:
-            self.log.warning("Revision not taken.", error=str(exc)[:300])
-
-    # Adopting
+            self.log.warning(
+                "A new configuration revision could not be applied.", error=str(exc)[:300]
+            )
 
     def _adopt(self, head: Head, fetch: Callable[[str], bytes]) -> bool:
-        """Put a head in force if it is newer; whole, or not at all."""
+        """Put a newer head in force once all its parts are here; return whether it was newer."""
         with self._lock:
             current = self._head
             if not is_newer(head, current):
@@ -219,13 +224,18 @@
             )
             self.adopted_at = time.time()
             self._on_snapshot(snapshot)
-        self.log.info("Revision in force.", revision=head.revision, change=head.change_id)
+        self.log.info(
+            "A new configuration revision is in force.",
+            revision=head.revision,
+            change=head.change_id,
+        )
         return True
 
     def _fetch_blocks(self, head: Head, fetch: Callable[[str], bytes]) -> None:
-        """Replace changed chunks one by one, so that the table is never there twice.
+        """Replace changed chunks of the client block table one by one.
 
-        Look-ups see a mixture meanwhile, which only makes a hall less near.
+        A second copy of the table is never in memory.  Meanwhile look-ups see old and new
+        chunks mixed, which can only choose a hall that is not the nearest.
         """
         index = read_block_index(head, self._parts)
         wanted = set(index.values())
@@ -238,7 +248,7 @@
         self._blocks.keep_only(index)
 
     def _drop_chunks(self, name: str, wanted: set[str]) -> None:
-        """Drop the bytes of the chunk that was replaced under the same name."""
+        """Drop the bytes of the old chunk with the given name, unless the new head uses them."""
         head = self._head
         if head is None:
             return
@@ -247,13 +257,13 @@
             self._parts.pop(old, None)
 
     def _drop_unused(self, head: Head) -> None:
-        """Drop parts that the head does not name."""
+        """Drop the parts that the head doesn't refer to."""
         used = {*head.parts.values(), *read_block_index(head, self._parts).values()}
         for unused in set(self._parts) - used:
             del self._parts[unused]
 
     def _announce(self, head: Head) -> None:
-        """Tell the hall's other entries; whoever misses it learns by gossip."""
+        """Announce a revision to the hall's other entries; those that miss it learn by gossip."""
         snapshot = self._snapshot
         assert snapshot is not None
         message = idl.Head(revision=head.revision, data=b"", platform_version=0)
@@ -265,9 +275,7 @@
                     entry.wire, "announce", timeout_s=0.3, head=message, sender=self._me
                 )
             except PeerError:
-                continue  # gossip will tell it
-
-    # Serving peers
+                continue  # Gossip carries the revision to this entry.
 
     def get_head_message(self) -> Any:
         """Return the head in force as a message."""
@@ -278,12 +286,12 @@
         return idl.Head(revision=head.revision, data=data, platform_version=self._head_version)
 
     def get_part(self, wanted: str) -> bytes:
-        """Return a part by digest; empty where it is not held."""
+        """Return a part by digest; empty if it isn't here."""
         return self._parts.get(wanted, b"")
 
 
 def _check(data: bytes, wanted: str) -> bytes:
-    """Check fetched bytes against their digest."""
+    """Return fetched bytes, or raise `PeerError` if they don't match their digest."""
     if digest(data) != wanted:
         raise PeerError(
             f"Part {wanted} is missing or damaged there.", remedy="It is fetched elsewhere next."
--- a/halldoor/entry/dispatch.py
+++ b/halldoor/entry/dispatch.py
@@ -122,9 +122,9 @@
         trail = _Trail()
         view = snapshot.services.get(request.service) if snapshot else None
         if snapshot is None or view is None:
-            # The service was removed between reading and dispatch, or only the forwarding entry has it.
+            # The request was read under another revision, or by an entry that has another one.
             refusal = refuse(
-                Reason.UNKNOWN_SERVICE, "The service is not known here now. Come back."
+                Reason.UNKNOWN_SERVICE, "The service is not known here now. Retry later."
             )
             decision = self._decide(request, trail, snapshot, refusal.reason.value)
             return Failure(Refused(refusal, decision))
@@ -184,7 +184,7 @@
         if share is not None:
             with self._lock:
                 if not share.reserve(size):
-                    message = f"The link to hall {step.hall} is full. Come back in a second."
+                    message = f"The link to hall {step.hall} is full. Retry in a second."
                     return Failure(HallRefusal(refuse(Reason.LINK_FULL, message), []))
         try:
             result = self._remote.send(
@@ -261,5 +261,5 @@
     """Build the refusal of a request that a cap keeps from another hall."""
     return refuse(
         Reason.SHIFT_CAP,
-        f"No room at home, and the cap of '{cap}' allows no move now. Come back in a second.",
+        f"No home slot is free, and the cap of '{cap}' allows no move now. Retry in a second.",
     )
--- a/halldoor/entry/gossip.py
+++ b/halldoor/entry/gossip.py
@@ -20,35 +20,36 @@
 from halldoor.wire.protocol import idl
 
 FANOUT = 2
-"""Peers of the own hall that are asked in one period."""
+"""Peers of the own hall that one exchange per period is made with."""
 SEEDS_ASKED = 2
-"""Seeds that are asked in one period while no configuration is known; each may cost a time-out."""
+"""Seeds contacted per period until a configuration is known; each may cost a timeout."""
 REMOTE_EVERY = 3
-"""Periods between two exchanges with an entry of another hall."""
+"""Number of periods between two exchanges with an entry of another hall."""
 LARGE_HALL = 8
-"""Entries above which a hall's period grows, so that traffic per entry stays bounded."""
+"""Number of entries above which the hall's period grows, to bound the traffic per entry."""
 TIMEOUT_S = 0.4
 SUSPECT_PERIODS = 5
-"""Periods without a newer heartbeat after which a peer counts as dead, if above the least time."""
+"""Periods without a newer heartbeat after which a peer counts as dead; at least
+`SUSPECT_AFTER_S` seconds."""
 
 
 class Beat(NamedTuple):
-    """Ask for a heartbeat now instead of at the end of the period."""
+    """A request to send heartbeats now instead of at the end of the period."""
 
 
 class GossipTask(Task[Beat]):
-    """Owns the membership of the hall.
+    """Exchanges membership records with peers, and reports changes through callbacks.
 
     Parameters
     ----------
     membership : Membership
-        What this entry knows of its peers.
+        Records of this entry and of the peers it has heard of.
     peers : PeerPool
-        Connections.
+        Connections to other entries.
     seeds : list of Address
-        Wire addresses to ask while the configuration is unknown.
+        Wire addresses to contact until a configuration is known.
     period_s : float
-        Time between exchanges.
+        Seconds between exchanges, in halls of up to `LARGE_HALL` entries.
     """
 
     def __init__(
@@ -64,8 +65,8 @@
         self._lock = threading.Lock()
         self._peers = peers
         self._random = random.Random(membership.me.incarnation)
-        # In turn, so that one seed in reach is found in a known time; in an order of its own,
-        # so that entries that start together don't all ask the same one.
+        # Rotating through the seeds finds a single reachable one in bounded time.  The order is
+        # random, so that entries that start together don't contact the same seeds.
         self._seeds = deque(self._random.sample(seeds, len(seeds)))
         self._turn = 0
         self._snapshot: Snapshot | None = None
@@ -78,39 +79,39 @@
         self.messages = 0
 
     def adopt(self, snapshot: Snapshot) -> None:
-        """Take over a new revision."""
+        """Publish a new revision in heartbeats; adapt the failure timeout to the hall's size."""
         self._snapshot = snapshot
         with self._lock:
             self._membership.beat(revision=snapshot.revision)
-            # News passes through several exchanges, so silence means less where they are rare.
+            # A heartbeat arrives through several peers, so a longer period needs a longer timeout.
             rare_s = SUSPECT_PERIODS * self._get_period_s()
             self._membership.suspect_after_s = max(SUSPECT_AFTER_S, rare_s)
 
     def set_flags(self, **flags: bool) -> None:
-        """Change what this entry says of itself."""
+        """Set flags of this entry's own membership record."""
         with self._lock:
             self._membership.beat(**flags)
 
     def get_pause_s(self) -> float:
-        """Return the time to the next exchange; large halls exchange less often."""
+        """Return the seconds to the next exchange, with random jitter."""
         return self._get_period_s() * self._random.uniform(0.8, 1.2)
 
     def _get_period_s(self) -> float:
-        """Return the mean time between two exchanges."""
+        """Return the mean seconds between two exchanges; longer in large halls."""
         entries = len(self._snapshot.hall.entries) if self._snapshot else 1
         return self._period_s * max(1.0, entries / LARGE_HALL)
 
     def handle(self, messages: list[Beat]) -> None:
-        """Nothing to do: a heartbeat follows every message."""
+        """Do nothing: `tick`, which follows every message, sends the heartbeats."""
 
     def tick(self) -> None:
-        """Beat, and exchange with some peers."""
+        """Update the own heartbeat, exchange records with some peers, and run the callbacks."""
         self._turn += 1
         with self._lock:
             self._membership.beat(reports=self.get_reports())
         for name, address in self._choose():
             self._exchange(name, address)
-        # Records come with their reports only when these change, but hold until the next.
+        # Peers send reports only when they change, so the last ones are applied again.
         members = self.list_alive()
         for member in members:
             self.on_reports(member)
@@ -118,7 +119,7 @@
         self._notice_change()
 
     def _choose(self) -> list[tuple[str, Address]]:
-        """Choose the peers of this period."""
+        """Choose the peers to exchange with in this period."""
         snapshot = self._snapshot
         if snapshot is None:
             return self._choose_seeds()
@@ -136,13 +137,13 @@
         return [(e.name, e.wire) for e in chosen]
 
     def _choose_seeds(self) -> list[tuple[str, Address]]:
-        """Choose the seeds that were not asked for longest."""
+        """Choose the least recently contacted seeds."""
         chosen = [self._seeds[i] for i in range(min(SEEDS_ASKED, len(self._seeds)))]
         self._seeds.rotate(-len(chosen))
         return [(str(a), a) for a in chosen]
 
     def _exchange(self, name: str, address: Address) -> None:
-        """Exchange with one peer."""
+        """Exchange membership records with one peer."""
         message = self._build(name)
         self.messages += 1
         try:
@@ -154,7 +155,7 @@
         self._take(reply, address)
 
     def _build(self, peer: str) -> Any:
-        """Build the message for a peer: all of the hall, or oneself to another hall."""
+        """Build the message for a peer: new records, or only the own one for another hall."""
         with self._lock:
             me = self._membership.me
             is_near = self._find_hall(peer) == me.hall
@@ -167,11 +168,11 @@
         )
 
     def _find_hall(self, name: str) -> str:
-        """Find the hall of an entry."""
+        """Return the hall of an entry; empty if unknown."""
         return self._snapshot.hall_by_entry.get(name, "") if self._snapshot else ""
 
     def answer(self, gossip: Any) -> Any:
-        """Answer a peer's exchange."""
+        """Merge the records that a peer sent, and return this entry's message for it."""
         entry = self._find_entry(gossip.sender)
         self._take(gossip, entry.wire if entry else None)
         return self._build(gossip.sender)
@@ -184,7 +185,7 @@
         return find_entry(snapshot, name)
 
     def _take(self, gossip: Any, address: Address | None) -> None:
-        """Take what a peer sent."""
+        """Merge a peer's records, and report its target reports and a newer revision."""
         members = [from_member(m) for m in gossip.members or []]
         with self._lock:
             me = self._membership.me
@@ -197,21 +198,23 @@
             self.on_revision(gossip.revision, address)
 
     def _notice_change(self) -> None:
-        """Return when somebody came, went or is leaving."""
+        """Call `on_change` if the hall's live entries or the leaving entries changed."""
         now = time.monotonic()
         with self._lock:
             members = self._membership.list_alive(now)
             hall = self._membership.me.hall
             leaving = tuple(self._membership.list_leaving())
-        # Others are heard of too seldom for their silence to mean anything.
+        # Records from other halls arrive too rarely to infer that their entries died.
         seen = tuple(sorted(m.name for m in members if m.hall == hall))
         if (seen, leaving) != self._seen:
             self._seen = (seen, leaving)
-            self.log.info("Members changed.", members=seen, leaving=leaving)
+            self.log.info(
+                "The hall's live or leaving members changed.", members=seen, leaving=leaving
+            )
             self.on_change()
 
     def list_alive(self) -> list[Member]:
-        """List the peers of this hall that were heard of lately."""
+        """List the live peers of this hall: those with a recent heartbeat."""
         with self._lock:
             me = self._membership.me
             return [m for m in self._membership.list_alive(time.monotonic()) if m.hall == me.hall]
@@ -227,7 +230,7 @@
                 return False
             if member.is_leaving:
                 return True
-            # Entries of other halls are heard of too seldom to judge their silence.
+            # Records from other halls arrive too rarely to infer that their entries died.
             is_near = member.hall == self._membership.me.hall
             return is_near and not self._membership.is_alive(name, now)
 
@@ -237,7 +240,7 @@
             return self._membership.choose_relays(revision, now=time.monotonic())
 
     def list_members(self) -> list[Member]:
-        """List all that is known, this entry first."""
+        """List this entry's record and then those of all live peers."""
         with self._lock:
             return [self._membership.me, *self._membership.list_alive(time.monotonic())]
 
--- a/halldoor/entry/hall.py
+++ b/halldoor/entry/hall.py
@@ -74,8 +74,8 @@
     def adopt(self, snapshot: Snapshot) -> None:
         """Apply a new configuration revision to slots and health.
 
-        Targets that the revision adds are marked cold.  After the first revision, slots rest
-        for `Snapshot.rest_s` only if ``rest_at_start`` is set.
+        Targets that the revision adds are marked cold.  On the first revision, slots rest for
+        `Snapshot.rest_s` only if ``rest_at_start`` is set.
         """
         now = time.monotonic()
         is_first = self._snapshot is None
@@ -140,7 +140,11 @@
             self.slots.expire_loans(now)
             names = self._list_candidates(targets, excluded, now, passed_over)
             if is_spill and not self._has_headroom(targets, now):
-                return Failure(self._refuse(Reason.NO_ROOM, "keeps room for its own", passed_over))
+                return Failure(
+                    self._refuse(
+                        Reason.NO_ROOM, "keeps its last free slots for its own callers", passed_over
+                    )
+                )
             admission = self._take_own(names, until, now, passed_over)
         if admission is None and names and until > now:
             # Borrowing from a peer takes a round trip, so the lock is not held during it.
@@ -150,8 +154,14 @@
         if admission is not None:
             return Success(admission)
         if not names:
-            return Failure(self._refuse(Reason.NO_TARGET, "has no healthy target", passed_over))
-        return Failure(self._refuse(Reason.NO_ROOM, "has no free slot", passed_over))
+            return Failure(
+                self._refuse(
+                    Reason.NO_TARGET, "has no healthy target for this request now", passed_over
+                )
+            )
+        return Failure(
+            self._refuse(Reason.NO_ROOM, "has no free slot for this request now", passed_over)
+        )
 
     def _wait(
         self, targets: Sequence[str], *, until: float, excluded: frozenset[str], wait_s: float
@@ -182,7 +192,7 @@
     def _refuse(self, reason: Reason, what: str, passed_over: list[PassedOver]) -> NoAdmission:
         """Build a refusal that names this hall."""
         hall = self._snapshot.hall.name if self._snapshot else "?"
-        message = f"Hall {hall} {what} for this request now. Come back in a second."
+        message = f"Hall {hall} {what}. Retry in a second."
         return NoAdmission(refuse(reason, message), passed_over)
 
     def _list_candidates(
@@ -192,7 +202,7 @@
         now: float,
         passed_over: list[PassedOver],
     ) -> list[str]:
-        """List the usable targets in the policy's order, and add the rejected ones to passed_over."""
+        """List usable targets in the policy's order; add the others to ``passed_over``."""
         if self._snapshot is None:
             return []
         known = self._snapshot.hall_targets
@@ -213,7 +223,7 @@
         views = [self._view(n, now) for n in usable]
         cold = [v.name for v in views if _is_cold_full(v, self._snapshot.hall_targets[v.name])]
         warm = self._policy.order([v for v in views if v.name not in cold])
-        # A cold target that has its ramp's share already is a last resort: slow, but not a refusal.
+        # A cold target at its ramp's limit is a last resort: slow, but better than a refusal.
         return [*warm, *self._policy.order([v for v in views if v.name in cold])]
 
     def _view(self, name: str, now: float) -> TargetView:
--- a/halldoor/entry/loans.py
+++ b/halldoor/entry/loans.py
@@ -60,7 +60,7 @@
         self._list_lenders = list_lenders
         self._find_entry = find_entry
         self._random = random.Random(me)
-        # Request threads write it without a lock; a lost update only causes one extra call.
+        # Request threads write it without a lock; a lost update is harmless.
         self._pause_until: dict[str, float] = {}
         self.asked = 0
         self.borrowed = 0
@@ -125,4 +125,6 @@
                     rest_ms=int(rest_s * 1000),
                 )
             except PeerError as exc:
-                self.log.info("Could not return a borrowed slot; its loan will expire.", error=exc.message)
+                self.log.info(
+                    "Could not return a borrowed slot; its loan will expire.", error=exc.message
+                )
--- a/halldoor/entry/local.py
+++ b/halldoor/entry/local.py
@@ -167,11 +167,11 @@
 def _to_refusal(fault: TargetFault, request: Request) -> Refusal:
     """Build the caller's refusal for a target's fault."""
     if fault.fault is Fault.SHED:
-        return refuse(Reason.SHED, "The target is full and did not run it. Come back in a second.")
+        return refuse(Reason.SHED, "The target is full and did not run it. Retry in a second.")
     if fault.fault is Fault.NOT_SENT:
-        return refuse(Reason.BROKEN, f"Not sent: {fault}. Come back in a second.")
+        return refuse(Reason.BROKEN, f"Not sent: {fault}. Retry in a second.")
     if request.cancellation.is_cancelled:
-        return refuse_unknown(Reason.CANCELLED, "The caller went away.")
+        return refuse_unknown(Reason.CANCELLED, "The caller disconnected.")
     if request.has_expired():
         return refuse_unknown(
             Reason.DEADLINE,
--- a/halldoor/entry/lookups.py
+++ b/halldoor/entry/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups: which entry hosts a caller should use, answered from a table of ready answers."""
+"""Look-ups: which entries a caller should use, answered from cached encoded answers."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class LookupTable:
-    """Ready answers by service and hall; a new table is made when anything changes.
+    """Cached answers by service and hall; replaced by a new table when anything changes.
 
-    Answers are written when they are first asked for, so that a change costs no more
-    than what is in use.  Two threads may write the same one; that does no harm.
+    Answers are encoded on first use, so that a change costs only the answers in use.
+    Two threads may encode the same answer, which is harmless.
 
     Parameters
     ----------
     snapshot : Snapshot
         The revision in force.
     is_avoided : callable
-        Tells by name whether an entry is leaving or dead.
+        Checks by name whether an entry is leaving or dead.
     max_age_s : float
-        Time for which callers may keep an answer.
+        Seconds for which callers may cache an answer.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._answers: dict[tuple[str, int], list[bytes]] = {}
 
     def find(self, service: str, client: str) -> bytes | None:
-        """Return the ready answer for a caller; None for an unknown service."""
+        """Return the encoded answer for a caller; None for an unknown service."""
         address = parse_address(client)
         match = self._snapshot.blocks.find(address) if address is not None else None
         hall = match.hall if match is not None and match.hall < len(self._halls) else self._own
@@ -53,11 +53,11 @@
             if view is None:
                 return None
             rotations = self._answers[service, hall] = self._write_all(view, hall)
-        # A stable choice keeps a caller on one entry while nothing changes.
+        # Choosing by the client's hash keeps a caller on one entry while nothing changes.
         return rotations[crc32(client.encode()) % len(rotations)]
 
     def _write_all(self, view: ServiceView, hall: int) -> list[bytes]:
-        """Write one answer for each entry of the nearest hall to come first."""
+        """Encode one answer for each entry of the nearest hall, with that entry listed first."""
         if hall not in self._lists:
             self._lists[hall] = self._list_entries(self._halls[hall]) if self._halls else []
         halls = self._lists[hall]
@@ -77,7 +77,7 @@
         return found
 
     def _write(self, view: ServiceView, entries: list[EntryHost]) -> bytes:
-        """Write one answer."""
+        """Encode an answer that lists the first `ENTRIES_LISTED` entries."""
         return msgspec.json.encode(
             {
                 "service": view.service.name,
--- a/halldoor/entry/metrics.py
+++ b/halldoor/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the entry process, as Prometheus text."""
+"""Metrics of the entry process, in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Metrics:
-    """Counters that requests add to, and gauges read when asked.
+    """Counters updated by requests, and gauges updated when the metrics are rendered.
 
-    Parameters
+    Attributes
     ----------
     read_gauges : callable
-        Sets the gauges just before they are written out.
+        Sets the gauges just before they are rendered.
     """
 
     def __init__(self) -> None:
         self.registry = Registry()
-        # The library's own collectors register themselves globally; halldoor keeps its own.
+        # Drop the collectors that the library registers globally; halldoor uses its own registry.
         REGISTRY.clear()
         self._requests = Counter("halldoor_requests", "Requests by service, outcome and reason.")
         self._latency = Histogram(
@@ -39,11 +39,11 @@
                 "slots": "Own slots by target and state.",
                 "in_flight": "Requests of this entry on a target.",
                 "moved_share": "Moved requests over all requests, by service and cap.",
-                "shift_cap": "The cap itself.",
+                "shift_cap": "Cap on the moved share, by service and cap.",
                 "revision": "Revision in force.",
-                "revision_age_seconds": "Time since it came into force.",
+                "revision_age_seconds": "Time since the revision in force was adopted.",
                 "draining_in_flight": "Requests that a leaving target still has from here.",
-                "invariant_violations": "Broken promises by name; must be none.",
+                "invariant_violations": "Violated invariants by name; must be 0.",
             }.items()
         }
         for collector in [self._requests, self._latency, self._lookups, *self._gauges.values()]:
@@ -51,20 +51,20 @@
         self.read_gauges: Callable[[], None] = lambda: None
 
     def add_request(self, service: str, outcome: str, latency_s: float) -> None:
-        """Count a request and its time."""
+        """Count a request, and record the seconds until the head of its answer."""
         self._requests.inc({"service": service, "outcome": outcome})
         self._latency.observe({"service": service}, latency_s)
 
     def add_lookup(self, service: str) -> None:
-        """Count a look-up."""
+        """Count a look-up of a service."""
         self._lookups.inc({"service": service})
 
     def set(self, name: str, labels: dict[str, str], value: float) -> None:
-        """Set a gauge."""
+        """Set the value of the gauge ``halldoor_<name>``."""
         self._gauges[name].set(labels, value)
 
     def render(self) -> bytes:
-        """Write all of it as text."""
+        """Update the gauges and return all metrics as text."""
         self.read_gauges()
         content, _ = render(self.registry, ["text/plain"])
         return content
@@ -78,7 +78,7 @@
     configuration: ConfigurationTask,
     invariants: Invariants,
 ) -> None:
-    """Set every gauge from the parts of the process."""
+    """Set every gauge from the state of the process's components."""
     for target, count in room.count().items():
         for state, value in (("free", count.free), ("busy", count.busy), ("lent", count.lent)):
             metrics.set("slots", {"target": target, "state": state}, value)
--- a/halldoor/entry/orders.py
+++ b/halldoor/entry/orders.py
@@ -118,13 +118,13 @@
         return self._issue(operation)
 
     def _issue(self, operation: str) -> Result[str, Refusal]:
-        """Issue a ticket from this ledger; for an id, return the ticket issued when it was claimed."""
+        """Issue a ticket from this ledger; for an id, the one issued when it was claimed."""
         if operation and not self._has_line(operation):
             return Failure(refuse_forgotten())
         with self._lock:
             text = self._ledger.issue(operation, now=time.monotonic())
         if text is None:
-            message = "Too many tickets are open at this entry. Ask another entry, or come back."
+            message = "Too many tickets are open at this entry. Use another entry, or retry later."
             return Failure(refuse(Reason.NO_ROOM, message))
         return Success(text)
 
@@ -349,7 +349,7 @@
 
         copied = Answer(answer.status, answer.headers, copy(), target=answer.target, on_end=end)
         copied.attempts, copied.passed_over = answer.attempts, answer.passed_over
-        # Read a small answer now, so that the stored one is complete even if the caller disconnects.
+        # Read a small answer now: it is stored whole even if the caller disconnects.
         try:
             copied.prefetch(KEPT_BODY)
         except RequestError as exc:
--- a/halldoor/entry/probe.py
+++ b/halldoor/entry/probe.py
@@ -1,4 +1,4 @@
-"""A task that probes the hall's targets and reads the platform's host list."""
+"""A task that probes the hall's targets and reads from the platform which ones leave."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 PROBE_TIMEOUT_S = 0.5
 PROBERS = 2
-"""Entries that probe one target; the others learn from their heartbeats."""
+"""Number of entries that probe each target; the others use their reports in heartbeats."""
 FAILURES_TO_BELIEVE = 2
 HOST_LIST_S = 1.0
 COLD_AGE_S = 5.0
 
 
 class TargetHealth(msgspec.Struct):
-    """A target's answer to a probe."""
+    """A target's answer to a probe: its state, its age in seconds and its load."""
 
     state: str = "ok"
     age_s: float = 1e9
@@ -37,7 +37,7 @@
 
 
 class _Seen(NamedTuple):
-    """What the last probes of a target gave."""
+    """Results of the last probes of a target: failures in a row, leaving, age in seconds."""
 
     failures: int
     is_leaving: bool
@@ -45,22 +45,22 @@
 
 
 class ProbeTask(Task[None]):
-    """Owns the probes.
+    """Probes targets, and records their health for admission.
 
     Parameters
     ----------
     me : str
         Name of this entry.
     room : HallRoom
-        Told what probes give.
+        Receives the results of probes and of peers' reports.
     platform : Platform
-        For the host list.
+        The key-value service, which keeps the host list.
     list_alive : callable
-        Lists the hall's live entries, for the choice of probers.
+        Lists the hall's other live entries, to choose which entries probe a target.
     is_relay : callable
-        Tells whether this entry reads the host list for the hall.
+        Checks whether this entry reads the host list for the hall.
     period_s : float
-        Time between probes of a target.
+        Seconds between probes of a target.
     """
 
     def __init__(
@@ -89,14 +89,14 @@
         self.probes = 0
 
     def adopt(self, snapshot: Snapshot) -> None:
-        """Take over a new revision."""
+        """Use the targets of a new revision."""
         self._snapshot = snapshot
 
     def handle(self, messages: list[None]) -> None:
-        """Nothing is sent to this task but the end."""
+        """Do nothing: this task receives no messages."""
 
     def tick(self) -> None:
-        """Probe the targets that fall to this entry."""
+        """Probe the targets assigned to this entry, and read the host list."""
         snapshot = self._snapshot
         if snapshot is None:
             return
@@ -104,7 +104,7 @@
         self._read_host_list(snapshot)
 
     def _choose(self, snapshot: Snapshot) -> list[Target]:
-        """Choose the targets that this entry probes."""
+        """List the targets that this entry is one of the `PROBERS` for."""
         names = [self._me, *(m.name for m in self._list_alive())]
         return [
             target
@@ -113,7 +113,7 @@
         ]
 
     def _probe(self, target: Target) -> None:
-        """Probe one target."""
+        """Send a health check to one target and record the result."""
         self.probes += 1
         try:
             response = self._pool.request(
@@ -128,7 +128,7 @@
         self._note(target.name, health)
 
     def _note(self, name: str, health: TargetHealth) -> None:
-        """Remember a probe's result and pass it on."""
+        """Record a probe's result here and in the hall's health table."""
         is_bad = health.state not in ("ok", "leaving")
         with self._lock:
             seen = self._seen.get(name, _Seen(0, False, 1e9))
@@ -136,7 +136,7 @@
             is_leaving = health.state == "leaving"
             self._seen[name] = _Seen(failures, is_leaving, health.age_s)
         if not is_bad and health.age_s < min(seen.age_s, COLD_AGE_S):
-            # Younger than when it was last seen: it was restarted, so its caches are cold.
+            # A lower age than at the last probe means that it restarted, so its caches are cold.
             self._room.mark_cold(name)
         self._room.mark(
             name,
@@ -146,10 +146,10 @@
         )
 
     def _read_host_list(self, snapshot: Snapshot) -> None:
-        """Read the platform's host list now and then; "leaving" is believed at once."""
+        """If this entry is a relay, read the host list and mark the listed targets as leaving."""
         now = time.monotonic()
         if not self._is_relay():
-            # A relay's reports say it now; what this entry read when it was one grows stale.
+            # The relays' reports are newer than what this entry read while it was a relay.
             self._said_leaving = frozenset()
             return
         if now - self._host_list_at >= HOST_LIST_S:
@@ -158,13 +158,16 @@
                 hosts = self._platform.list_hosts()
                 self._said_leaving = frozenset(h.name for h in hosts if h.is_leaving)
             except PlatformError:
-                # What it said last stays: a target that leaves does not come back by silence.
+                # Keep the last list: a failed read doesn't mean that a leaving target came back.
                 pass
         for name in self._said_leaving & snapshot.hall_targets.keys():
             self._room.mark_leaving(name)
 
     def hear(self, member: Member) -> None:
-        """Take a peer's reports.  "Leaving" is believed; "healthy" needs own contact too."""
+        """Apply a peer's target reports.
+
+        "Leaving" always applies; health applies only to targets that this entry hasn't probed.
+        """
         for report in member.reports:
             if report.is_leaving:
                 self._room.mark_leaving(report.target)
@@ -172,7 +175,7 @@
                 self._room.mark(report.target, is_healthy=report.is_healthy, is_leaving=False)
 
     def build_reports(self) -> tuple[TargetReport, ...]:
-        """Build what this entry's heartbeats say of the targets."""
+        """Build the target reports for this entry's heartbeats."""
         counts = self._room.count()
         with self._lock:
             seen = dict(self._seen)
--- a/halldoor/entry/process.py
+++ b/halldoor/entry/process.py
@@ -1,4 +1,4 @@
-"""The entry process: its parts, their wiring, and how it stops."""
+"""The entry process: creates its components, connects them, starts and stops them."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 STOP_LIMIT_S = 60.0
 QUIET_S = 0.5
-"""Time without any request after which a stopping entry ends."""
+"""Seconds without any running request after which a stopping entry exits."""
 
 
 class EntryProcess:
@@ -59,7 +59,7 @@
     Parameters
     ----------
     settings : EntrySettings
-        Checked settings.
+        Validated settings.
     platform : Platform
         The key-value service.
     """
@@ -88,7 +88,7 @@
         return cls(settings, platform)
 
     def _build_control(self, platform: Platform) -> None:
-        """Build membership, configuration, loans and probes."""
+        """Create membership, configuration, loans, admission and probes."""
         s = self.settings
         generation = int(time.time() * 1000)
         me = Member(s.name, s.hall, self.incarnation, generation, 0, 0, 0, False)
@@ -129,7 +129,7 @@
         )
 
     def _build_requests(self, platform: Platform) -> None:
-        """Build what requests go through."""
+        """Create the components that serve requests: dispatch, claims and orders."""
         s = self.settings
         self.targets = TargetClient()
         self.local = LocalHall(self.room, self.targets, queue_s=s.queue_s)
@@ -158,7 +158,7 @@
         )
 
     def _wire_up(self) -> None:
-        """Connect the parts, and open the ports."""
+        """Connect the components' callbacks, and create the wire and HTTP servers."""
         s = self.settings
         self.gossip.get_reports = self.probe.build_reports
         self.gossip.on_reports = self.probe.hear
@@ -208,7 +208,7 @@
         )
 
     def _adopt(self, snapshot: Snapshot) -> None:
-        """Put a snapshot in force everywhere in this process."""
+        """Apply a configuration snapshot to every component."""
         self.room.adopt(snapshot)
         self.dispatcher.adopt(snapshot)
         self.gossip.adopt(snapshot)
@@ -217,7 +217,7 @@
         self._refresh_lookups()
 
     def _refresh_lookups(self) -> None:
-        """Make the table of look-up answers anew."""
+        """Replace the table of look-up answers after a change."""
         if self.snapshot is not None:
             self._lookups = LookupTable(
                 self.snapshot,
@@ -230,7 +230,7 @@
         return find_entry(self.snapshot, name) if self.snapshot is not None else None
 
     def find_decision(self, decision_id: str) -> Decision | None:
-        """Find a decision here or at any entry that can be reached."""
+        """Find a decision record here or at any other reachable entry."""
         found = self.decisions.find(decision_id)
         if found is not None or self.snapshot is None:
             return found
@@ -248,8 +248,6 @@
                     return msgspec.msgpack.decode(data, type=Decision)
         return None
 
-    # Life
-
     def start(self) -> None:
         """Start every task and open the ports to callers."""
         for task in (self.gossip, self.configuration, self.loans, self.probe, self.claims):
@@ -273,14 +271,14 @@
     def stop(self) -> None:
         """Stop without cutting off a request.
 
-        First the entry leaves look-ups and tells its peers, and serves on until the
-        answers that callers have cached have run out.  Then it waits for the last
-        request, and ends.
+        First the entry removes itself from look-up answers and notifies its peers, and keeps
+        serving until the answers that callers have cached expire.  Then it waits, up to
+        `STOP_LIMIT_S`, for the last request, and shuts down.
         """
         if self._is_leaving:
             return
         self._is_leaving = True
-        log.info("Stopping; still serving callers with cached answers.")
+        log.info("Stopping; still serving callers with cached look-up answers.")
         self.gossip.set_flags(is_leaving=True)
         self._refresh_lookups()
         self.gossip.tell(Beat())
@@ -297,11 +295,11 @@
         self._end()
 
     def _count_running(self) -> int:
-        """Count the requests that this process still works on."""
+        """Count the requests and orders that still run in this process."""
         return self.activity.count + self.room.count_in_flight() + self.orders.count_running()
 
     def _end(self) -> None:
-        """Close the ports and end the tasks."""
+        """Close the ports and stop the tasks."""
         cherrypy.engine.exit()
         for task in (self.probe, self.claims, self.loans, self.gossip, self.configuration):
             task.stop()
@@ -320,7 +318,7 @@
         return "serving" if self.snapshot is not None else "starting"
 
     def get_status(self) -> dict[str, Any]:
-        """Return what this entry is doing, for operators."""
+        """Return this entry's state for operators, as served at ``/v1/status``."""
         counts = self.room.count()
         return {
             "name": self.settings.name,
@@ -359,5 +357,5 @@
 
 
 def _log_violation(name: str, detail: str) -> None:
-    """Log a broken promise."""
+    """Log a violated invariant."""
     log.error("Invariant broken.", invariant=name, detail=detail)
--- a/halldoor/entry/reader.py
+++ b/halldoor/entry/reader.py
@@ -1,4 +1,4 @@
-"""Read a caller's request: head, deadline, client block and body."""
+"""Parse a caller's HTTP request: head, deadline, client block and body."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def read_request(
     environ: dict[str, Any], snapshot: Snapshot | None
 ) -> tuple[Request, Body] | Refusal:
-    """Read a request's head, and its body where that is small.
+    """Parse a request's head, and read its body if it is small.
 
     Parameters
     ----------
@@ -38,10 +38,10 @@
     Returns
     -------
     tuple of Request and Body, or Refusal
-        What was read, or why it can't be.
+        The request, or why it is refused.
     """
     if snapshot is None:
-        return refuse(Reason.STARTING, "This entry is starting. Ask another, or come back.")
+        return refuse(Reason.STARTING, "This entry is starting. Use another entry, or retry later.")
     _, _, service, *rest = environ["PATH_INFO"].split("/", 3)
     path = "/" + (rest[0] if rest else "")
     view = snapshot.services.get(service)
@@ -82,14 +82,14 @@
 
 
 def _refuse_operation(view: ServiceView, method: str, path: str) -> Refusal:
-    """Refuse a request that no operation of the service takes."""
+    """Refuse a request whose method and path match no operation of the service."""
     known = ", ".join(f"{'|'.join(o.methods)} {o.path}" for o in view.service.operations)
     message = f"No operation takes {method} {path[:60]}. There are: {known}."
     return refuse(Reason.BAD_REQUEST, message, retry_after_s=0.0)
 
 
 def qualify(refusal: Refusal, environ: dict[str, Any]) -> Refusal:
-    """Say no more than is known of an operation whose ticket or id was not even looked at."""
+    """Change an order's "not run" refusal to "unknown", since its ticket or id was not checked."""
     is_order = "HTTP_HALLDOOR_TICKET" in environ or "HTTP_OPERATION_ID" in environ
     if not is_order or refusal.ran == Ran.UNKNOWN:
         return refusal
@@ -101,7 +101,7 @@
 
 
 def _read_headers(environ: dict[str, Any]) -> tuple[tuple[str, str], ...]:
-    """Collect the end-to-end headers."""
+    """Return the end-to-end headers of a WSGI environment."""
     found = [
         (key[5:].replace("_", "-").title(), value)
         for key, value in environ.items()
@@ -116,12 +116,12 @@
 
 
 def drop_own_headers(headers: tuple[tuple[str, str], ...]) -> tuple[tuple[str, str], ...]:
-    """Drop the headers that are for halldoor only; targets never see a ticket."""
+    """Drop the headers that only halldoor uses, so that targets never receive a ticket."""
     return tuple((k, v) for k, v in headers if k.lower() not in _OWN_HEADERS)
 
 
 def _read_deadline(headers: tuple[tuple[str, str], ...], operation: Operation) -> float | None:
-    """Return the time allowed; None where the header is wrong."""
+    """Return the seconds allowed for a request; None if the header is invalid."""
     text = find_header(headers, "halldoor-deadline-ms")
     if not text:
         return operation.deadline_s
@@ -131,7 +131,7 @@
 
 
 def _read_length(environ: dict[str, Any]) -> int | None:
-    """Return the body's length; -1 for chunks, None where the header is wrong."""
+    """Return the body's length in bytes; -1 for chunks, None if the header is invalid."""
     if "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower():
         return -1
     text = environ.get("CONTENT_LENGTH") or "0"
@@ -141,7 +141,7 @@
 def _find_client(
     environ: dict[str, Any], headers: tuple[tuple[str, str], ...], snapshot: Snapshot
 ) -> str:
-    """Find the client block of a caller; without one, its /24 network."""
+    """Return the name of a caller's client block; without one, that of its /24 network."""
     text = find_header(headers, "halldoor-client") or environ.get("REMOTE_ADDR", "")
     address = parse_address(text)
     if address is None:
@@ -151,7 +151,7 @@
 
 
 def _read_body(source: Any, request: Request) -> tuple[Request, Body] | Refusal:
-    """Read a small body whole; a larger one is streamed."""
+    """Read a small body into memory; leave a larger one to be streamed."""
     if request.length == 0:
         return request, Body()
     wanted = SMALL_BODY if request.length < 0 else min(request.length, SMALL_BODY)
@@ -170,13 +170,13 @@
 
 
 def _refuse_cut(why: str) -> Refusal:
-    """Refuse a body that did not come whole; nothing of it was sent on."""
+    """Refuse a request whose body is incomplete; none of it was sent to a target."""
     message = f"The request's body did not arrive: {why}. Send it again."
     return refuse(Reason.BAD_REQUEST, message)
 
 
 def _read_exactly(source: Any, size: int) -> bytes:
-    """Read up to ``size`` bytes, less only at the end."""
+    """Read ``size`` bytes; fewer only if the body ends."""
     parts, missing = [], size
     while missing:
         part = source.read(missing)
@@ -188,7 +188,7 @@
 
 
 def _read_rest(source: Any, missing: int, is_chunked: bool) -> Iterator[bytes]:
-    """Read the rest of a streamed body; raises where the caller breaks off."""
+    """Yield the rest of a streamed body; raise if the caller stops before its length."""
     while missing > 0 or is_chunked:
         piece = source.read(PIECE if is_chunked else min(PIECE, missing))
         if not piece:
--- a/halldoor/entry/refusals.py
+++ b/halldoor/entry/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of orders, with what is known and what to do."""
+"""Refusals of orders: whether the order may have run, and what the caller should do."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 def refuse_ticket(why: str) -> Refusal:
-    """Refuse a ticket that never was one."""
+    """Refuse an invalid ticket."""
     return refuse(
         Reason.BAD_TICKET, f"The ticket is not valid. {why} Get a new one.", retry_after_s=0.0
     )
 
 
 def refuse_gone() -> Refusal:
-    """Refuse a ticket whose issuing process ended: it took the outcome with it."""
+    """Refuse a ticket whose issuing process has ended: its record of the outcome is lost."""
     return refuse_unknown(
         Reason.ISSUER_GONE,
         "The entry process that issued this ticket ended. Look up whether the operation ran.",
@@ -21,7 +21,7 @@
 
 
 def refuse_forgotten() -> Refusal:
-    """Refuse an id that was claimed here so long ago that its outcome is forgotten."""
+    """Refuse an id claimed by this process whose outcome has been removed from the ledger."""
     return refuse_unknown(
         Reason.TICKET_USED,
         "This operation id was used before and its outcome is forgotten. Look up whether it ran.",
@@ -29,7 +29,7 @@
 
 
 def refuse_unreachable(issuer: str) -> Refusal:
-    """Refuse a ticket whose issuer can't be reached from here just now."""
+    """Refuse a ticket whose issuer can't be reached now."""
     return refuse_unknown(
         Reason.ISSUER_GONE,
         f"Entry {issuer}, which issued the ticket, can't be reached. Repeat the same call.",
@@ -38,21 +38,21 @@
 
 
 def refuse_platform_down(*, is_order: bool) -> Refusal:
-    """Refuse an own id that can't be checked."""
+    """Refuse a caller's own id while the platform that records claims can't be asked."""
     if is_order:
-        # This call was sent nowhere, but whether an earlier one with the id was can't be known.
+        # This call was sent to no target, but an earlier call with the same id may have been.
         return refuse_unknown(
             Reason.PLATFORM_DOWN,
             "The platform can't be asked whether this id ran before; this call was sent nowhere. "
             "Repeat the same id, or for a new operation get a ticket without an id.",
             retry_after_s=2.0,
         )
-    message = "The platform can't be asked about this id. Come back, or ask without an id."
+    message = "The platform can't be asked about this id. Retry later, or ask without an id."
     return refuse(Reason.PLATFORM_DOWN, message, retry_after_s=2.0)
 
 
 def refuse_with_ticket(ticket: str) -> Refusal:
-    """Refuse a repeat by id after an attempt that did not run."""
+    """Refuse a repeat without a ticket after an attempt that did not run; include a ticket."""
     return Refusal(
         Reason.TICKET_USED,
         Ran.NOT_RUN,
--- a/halldoor/entry/remote.py
+++ b/halldoor/entry/remote.py
@@ -63,7 +63,7 @@
         ticket: str = "",
         is_spill: bool = False,
     ) -> Result[Answer, HallRefusal]:
-        """Forward a request to the first of the entries that takes the call.
+        """Forward a request to the first of the entries that can be connected to.
 
         Parameters
         ----------
@@ -83,13 +83,13 @@
             Whether the request comes from another region.
         """
         head = _build_head(request, kind=kind, selector=selector, ticket=ticket, is_spill=is_spill)
-        refusal = refuse(Reason.BROKEN, "No entry of the hall can be reached. Come back later.")
+        refusal = refuse(Reason.BROKEN, "No entry of the hall can be reached. Retry later.")
         for entry in self.order(entries):
             try:
                 connection = self._peers.open(entry.wire)
             except PeerError as exc:
                 self._note_unreachable(entry)
-                refusal = refuse(Reason.BROKEN, exc.message + " Come back in a second.")
+                refusal = refuse(Reason.BROKEN, exc.message + " Retry in a second.")
                 continue
             return self._exchange(entry, connection, head, request, body)
         return Failure(HallRefusal(refusal, []))
@@ -216,7 +216,7 @@
     """Build the refusal for a peer's error; the peer may already have sent the request."""
     retry_after_s = 1.0 if request.is_repeatable else 0.0
     if request.cancellation.is_cancelled:
-        return refuse_unknown(Reason.CANCELLED, "The caller went away.")
+        return refuse_unknown(Reason.CANCELLED, "The caller disconnected.")
     if request.has_expired():
         message = "The other hall did not answer in time. Allow more time for it."
         return refuse_unknown(Reason.DEADLINE, message, retry_after_s=retry_after_s)
--- a/halldoor/entry/sessions.py
+++ b/halldoor/entry/sessions.py
@@ -1,4 +1,4 @@
-"""Calls of other entries: forwarded requests, loans, gossip, configuration."""
+"""Handlers for calls from other entries: forwarded requests, loans, gossip, configuration."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 log = structlog.get_logger(part="sessions")
 
 QUEUED_CHUNKS = 4
-"""Chunks of a forwarded body kept in memory while the target takes them."""
+"""Chunks of a forwarded body that may wait in memory for a slow target."""
 
 
 class Services(NamedTuple):
-    """What the calls of other entries are answered by."""
+    """Components that handle calls from other entries."""
 
     room: HallRoom
     local: LocalHall
@@ -58,14 +58,14 @@
 
 
 class Session(ConnectionHandler):
-    """Handles one connection of another entry; its methods are those of the IDL.
+    """Handles one connection from another entry; public methods implement the Thrift service.
 
     Parameters
     ----------
     services : Services
-        The parts of this process.
+        The components of this process.
     sock : socket.socket
-        The connection, watched so that work for a caller that left is cancelled.
+        The connection, watched so that requests are cancelled when the other side disconnects.
     """
 
     def __init__(self, services: Services, sock: socket.socket) -> None:
@@ -80,12 +80,10 @@
         self._result: queue.SimpleQueue[Any] = queue.SimpleQueue()
         self._is_counted = False
 
-    # Forwarded requests
-
     def start(self, head: Any, body: bytes, whole: bool) -> Any:
-        """Admit a request; with its whole body, also run it."""
+        """Admit a forwarded request; if its whole body came along, also run it."""
         if self._services.get_snapshot() is None and head.kind != TO_ISSUER:
-            return _start_refused(refuse(Reason.STARTING, "This entry is starting. Come back."))
+            return _start_refused(refuse(Reason.STARTING, "This entry is starting. Retry later."))
         self._cancellation = Cancellation()
         request = _to_request(head, self._cancellation)
         run = self._prepare(head, request)
@@ -106,7 +104,7 @@
         return idl.Started(admitted=True, passed_over=[])
 
     def _prepare(self, head: Any, request: Request) -> Any:
-        """Reserve what the request needs, and give the function that runs it."""
+        """Reserve a slot if the request is for a target, and return a function that runs it."""
         services = self._services
         if head.kind == TO_ISSUER:
             ticket = head.ticket or ""
@@ -122,7 +120,7 @@
         )
 
     def _select(self, selector: str) -> list[str]:
-        """List the hall's targets that a selector chooses."""
+        """List the names of the hall's targets that match a selector."""
         snapshot = self._services.get_snapshot()
         assert snapshot is not None
         wanted = Selector.from_text(selector)
@@ -134,19 +132,19 @@
         ]
 
     def _begin(self) -> None:
-        """Count the request until its answer has been read or its connection ends."""
+        """Count the request as running, until its answer was read or its connection closed."""
         if not self._is_counted:
             self._is_counted = True
             self._services.activity.begin()
 
     def _end(self) -> None:
-        """Count the request out, once."""
+        """Count the request as finished, once."""
         if self._is_counted:
             self._is_counted = False
             self._services.activity.end()
 
     def _run(self, run: Callable[[Body], Any], body: Body) -> Any:
-        """Run a request and build the reply."""
+        """Run a request and build the reply to the forwarding entry."""
         reply = None
         try:
             result = run(body)
@@ -158,8 +156,8 @@
         except RequestError as exc:
             return _start_refused(exc.refusal)
         except Exception:
-            # The other entry waits for a reply, and in a thread nobody else would give one.
-            log.exception("Forwarded request failed inside the entry.")
+            # The other entry waits for a reply, and this may be a thread without another handler.
+            log.exception("A forwarded request failed with an unexpected error.")
             message = "The entry failed. Its log says more."
             return _start_refused(refuse_unknown(Reason.BROKEN, message))
         finally:
@@ -167,7 +165,7 @@
                 self._end()
 
     def _start_answer(self, value: Served | Answer) -> Any:
-        """Build the reply that carries an answer's start."""
+        """Build the reply with an answer's head and the first chunk of its body."""
         answer = value.answer if isinstance(value, Served) else value
         self._answer = answer
         self._pieces = iter(answer)
@@ -187,7 +185,7 @@
         )
 
     def _gather(self) -> tuple[bytes, bool]:
-        """Collect pieces up to a chunk; True with the last one."""
+        """Return the next chunk of the answer's body, and whether it is the last."""
         parts: list[bytes] = []
         size = 0
         while size < CHUNK_BYTES:
@@ -199,25 +197,25 @@
         return b"".join(parts), False
 
     def _read_chunks(self, chunks: queue.Queue[bytes | None], request: Request) -> Iterator[bytes]:
-        """Return the chunks of a streamed body as they come."""
+        """Yield the chunks of a streamed body as they arrive, until its end or the deadline."""
         while True:
             try:
                 data = chunks.get(timeout=max(0.001, request.get_remaining_s()))
             except queue.Empty:
                 raise TimeoutError("the body did not come in time") from None
             if request.cancellation.is_cancelled:
-                raise ConnectionAbortedError("the caller went away")
+                raise ConnectionAbortedError("the caller disconnected")
             if data is None:
                 return
             yield data
 
     def write(self, chunk: Any) -> None:
-        """Take a chunk of a streamed body."""
+        """Receive a chunk of a streamed body."""
         if self._chunks is None or chunk.index != self._body_index:
             raise ValueError("chunk out of order")
         self._body_index += 1
-        # Blocks while the target is slow, which slows the sender in turn.  Once the
-        # request has ended the rest of the body is dropped.
+        # Block while the target is slow, so that the sender slows down as well.  Once the
+        # request has finished, drop the rest of the body.
         while self._result.empty():
             try:
                 self._chunks.put(chunk.data, timeout=0.05)
@@ -226,7 +224,7 @@
                 continue
 
     def finish(self, count: int) -> Any:
-        """End a streamed body and wait for the answer."""
+        """Mark a streamed body as complete, and wait for the reply."""
         if self._chunks is None or count != self._body_index:
             raise ValueError("chunks are missing")
         while self._result.empty():
@@ -254,17 +252,17 @@
         return idl.Chunk(index=index, data=data, last=is_last)
 
     def close(self) -> None:
-        """Cancel what is under way, since the connection ended."""
+        """Cancel the running request, since the connection was closed."""
         self._cancellation.cancel()
         if self._chunks is not None:
-            # Wake the thread that waits for more of the body; it sees the cancellation.
+            # Wake the thread that waits for a chunk, so that it notices the cancellation.
             self._drain()
         if self._answer is not None:
             self._answer.close()
         self._end()
 
     def _drain(self) -> None:
-        """Make room in the queue and put the end marker."""
+        """Put the end marker into the chunk queue, dropping chunks if it is full."""
         chunks = self._chunks
         while chunks is not None:
             try:
@@ -276,14 +274,12 @@
                 except queue.Empty:
                     continue
 
-    # Control
-
     def exchange(self, gossip: Any) -> Any:
-        """Swap membership records."""
+        """Merge a peer's membership records, and return this entry's."""
         return self._services.gossip.answer(gossip)
 
     def borrow(self, request: Any) -> Any:
-        """Lend a slot."""
+        """Lend a peer a slot; a loan number of 0 means that none is free."""
         duration_s = request.duration_ms / 1000
         loan = self._services.room.lend(request.targets, request.borrower, duration_s)
         if loan is None:
@@ -291,11 +287,11 @@
         return idl.Loan(number=loan.number, index=loan.key.number, target=loan.key.target)
 
     def give_back(self, target: str, number: int, borrower: str, rest_ms: int) -> None:
-        """Take a lent slot back."""
+        """End a loan; its slot can be used again after ``rest_ms``."""
         self._services.room.end_loan(number, borrower, rest_ms / 1000)
 
     def announce(self, head: Any, sender: str) -> int:
-        """Learn of a revision."""
+        """Receive a peer's announcement of a revision, and return the revision in force here."""
         return self._services.configuration.hear(head.revision, sender)
 
     def get_head(self) -> Any:
@@ -303,24 +299,24 @@
         return self._services.configuration.get_head_message()
 
     def get_part(self, digest: str) -> bytes:
-        """Return a part of the configuration; empty where it is not held."""
+        """Return a part of the configuration by digest; empty if it isn't here."""
         return self._services.configuration.get_part(digest)
 
     def get_ticket(self, operation_id: str, incarnation: str) -> Any:
-        """Issue the ticket of an id that this process holds the claim of."""
+        """Issue the ticket of an id that this process has claimed."""
         issued = self._services.orders.issue_claimed(operation_id, incarnation)
         if isinstance(issued, Failure):
             return idl.TicketReply(ticket="", refusal=to_refusal(issued.failure()))
         return idl.TicketReply(ticket=issued.unwrap())
 
     def find_decision(self, decision_id: str) -> bytes:
-        """Return a kept decision record; empty where there is none."""
+        """Return an encoded decision record; empty if it isn't stored here."""
         found = self._services.decisions.find(decision_id)
         return msgpack.encode(found) if found is not None else b""
 
 
 def _to_request(head: Any, cancellation: Cancellation) -> Request:
-    """Build the request from its message."""
+    """Build the request from a forwarded request head."""
     return Request(
         id=head.decision_id,
         service=head.service_name,
@@ -338,7 +334,7 @@
 
 
 def _start_refusal(failure: HallRefusal | Refused | Refusal) -> Any:
-    """Build the reply that refuses, from whatever layer refused."""
+    """Build the refusing reply for a failure of a hall, the dispatcher or the orders."""
     if isinstance(failure, HallRefusal):
         reply = _start_refused(failure.refusal)
         reply.passed_over = to_passed_over(failure.passed_over)
@@ -348,5 +344,5 @@
 
 
 def _start_refused(refusal: Refusal) -> Any:
-    """Build the reply that refuses."""
+    """Build the reply that carries a refusal."""
     return idl.Started(admitted=False, refusal=to_refusal(refusal), passed_over=[])
--- a/halldoor/entry/targets.py
+++ b/halldoor/entry/targets.py
@@ -20,8 +20,7 @@
 
 PIECE = 65_536
 PREFETCH = 131_072
-"""Bytes of a repeatable request's answer read before it is passed on, so that a break can be
-retried."""
+"""Bytes of a repeatable request's answer read ahead, so that a break in them can be retried."""
 STALL_SHARE = 0.4
 """Share of the time left when an answer begins, after which silence counts as a broken answer.
 
@@ -94,9 +93,11 @@
         connection = self._open(target, request)
         try:
             if not may_send():
-                raise TargetFault(Fault.NOT_SENT, "the right to send had lapsed")
+                raise TargetFault(
+                    Fault.NOT_SENT, "its slot expired, its target is leaving, or it was cancelled"
+                )
             started = time.monotonic()
-            # With an answer that closes the connection, the library drops its reference to the socket.
+            # If the answer closes the connection, the library drops its socket reference.
             sock = connection.sock
             response = self._exchange(connection, sock, request, body)
         except BaseException:
@@ -260,7 +261,7 @@
     size = 0
     while True:
         if request.cancellation.is_cancelled:
-            raise break_off("The caller went away while the answer was on its way.")
+            raise break_off("The caller disconnected during the answer.")
         # The library closes its socket once the last byte has been read.
         remaining_s = request.get_remaining_s()
         limit_s = min(remaining_s, stall_s) if size < PREFETCH else remaining_s
--- a/halldoor/entry/task.py
+++ b/halldoor/entry/task.py
@@ -1,4 +1,4 @@
-"""A task: a thread that owns its state and takes messages."""
+"""Base class of tasks: a thread that owns its state and handles messages from a queue."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Task(ABC, Generic[M]):
-    """Base of the tasks of a process.
+    """Base class of the tasks of an entry process.
 
     Parameters
     ----------
     name : str
-        Name of the thread, and prefix of its log lines.
+        Name of the thread, logged as ``part``.
     period_s : float
-        Longest time between two calls of `tick`.
+        Longest wait for messages, in seconds, before the next call of `tick`.
     """
 
     def __init__(self, name: str, *, period_s: float) -> None:
@@ -36,25 +36,25 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask the thread to end; it does after the message at hand."""
+        """Stop the thread after the batch of messages that it is handling."""
         self._is_stopped.set()
         self._inbox.put(None)
 
     def join(self, timeout_s: float) -> None:
-        """Wait for the thread."""
+        """Wait up to ``timeout_s`` seconds for the thread to stop."""
         self._thread.join(timeout_s)
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the task was asked to end."""
+        """Whether the task was asked to stop."""
         return self._is_stopped.is_set()
 
     def tell(self, message: M) -> None:
-        """Send a message to the task."""
+        """Queue a message for the task; block while the queue is full."""
         self._inbox.put(message)
 
     def _run(self) -> None:
-        """Take messages in batches, and tick."""
+        """Handle messages in batches, and call `tick` after each batch or pause."""
         while not self.is_stopping:
             messages = self._collect(self.get_pause_s())
             try:
@@ -62,10 +62,10 @@
                     self.handle(messages)
                 self.tick()
             except Exception:
-                self.log.exception("Task failed once; it goes on.")
+                self.log.exception("A task failed while handling messages; it continues.")
 
     def _collect(self, pause_s: float) -> list[M]:
-        """Wait for a message and take all that are there."""
+        """Wait for a message, and return it with all others in the queue."""
         messages: list[M] = []
         try:
             first = self._inbox.get(timeout=pause_s)
@@ -77,12 +77,12 @@
             return messages
 
     def get_pause_s(self) -> float:
-        """Return the time to wait for messages before the next `tick`."""
+        """Return the seconds to wait for messages before the next `tick`."""
         return self._period_s
 
     @abstractmethod
     def handle(self, messages: list[M]) -> None:
-        """Handle all messages that came since the last time."""
+        """Handle all messages that arrived since the last call."""
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Do periodic work."""
--- a/halldoor/entry/web.py
+++ b/halldoor/entry/web.py
@@ -38,11 +38,11 @@
 log = structlog.get_logger(part="web")
 
 RECORD_LIMIT = 8_000
-"""Longest decision record put into a header; longer ones are cut to fit elsewhere."""
+"""Most characters of a decision record sent in a header; longer records are not sent."""
 
 
 class Parts(NamedTuple):
-    """What the HTTP interface is built on."""
+    """Components and functions that the HTTP interface uses."""
 
     dispatcher: Dispatcher
     orders: Orders
@@ -57,7 +57,7 @@
 
 
 class Reply(NamedTuple):
-    """A short answer of the entry itself."""
+    """A short answer of the entry itself, not of a target."""
 
     status: int
     body: bytes
@@ -66,7 +66,7 @@
 
 
 class WebApp:
-    """The WSGI application."""
+    """The WSGI application of an entry."""
 
     def __init__(self, parts: Parts) -> None:
         self._parts = parts
@@ -80,18 +80,18 @@
             is_lookup = path == "/v1/lookup"
             reply = self._look_up(environ) if is_lookup else self._control(path, environ)
         except Exception:
-            log.exception("Request failed inside the entry.", path=path[:200])
+            log.exception("An HTTP request failed with an unexpected error.", path=path[:200])
             message = "The entry failed. Ask another entry; its log says more."
             reply = to_reply(refuse_unknown(Reason.BROKEN, message))
         return _send(start_response, reply)
 
     def _look_up(self, environ: dict[str, Any]) -> Reply:
-        """Answer a look-up from the ready table."""
+        """Answer a look-up from the table of cached answers."""
         query = parse_qs(environ.get("QUERY_STRING", ""))
         service = query.get("service", [""])[0]
         table = self._parts.get_lookups()
         if table is None:
-            return to_reply(refuse(Reason.STARTING, "This entry is starting. Come back."))
+            return to_reply(refuse(Reason.STARTING, "This entry is starting. Retry later."))
         client = query.get("client", [environ.get("REMOTE_ADDR", "")])[0]
         body = table.find(service, client)
         if body is None:
@@ -100,7 +100,7 @@
         return Reply(200, body)
 
     def _control(self, path: str, environ: dict[str, Any]) -> Reply:
-        """Answer everything but look-ups and requests."""
+        """Answer tickets, metrics, status, explanations and health checks."""
         query = {k: v[0] for k, v in parse_qs(environ.get("QUERY_STRING", "")).items()}
         if path == "/v1/tickets":
             return self._get_ticket(environ, query)
@@ -124,7 +124,7 @@
         )
 
     def _get_ticket(self, environ: dict[str, Any], query: dict[str, str]) -> Reply:
-        """Issue a ticket; never from a cache."""
+        """Issue a ticket; only by POST and marked not to be cached."""
         if environ["REQUEST_METHOD"] != "POST":
             message = "Tickets are issued by POST, so that no cache keeps one."
             return to_reply(refuse(Reason.BAD_REQUEST, message, retry_after_s=0.0))
@@ -135,7 +135,7 @@
         return Reply(200, body, (("Cache-Control", "no-store"),))
 
     def _explain(self, query: dict[str, str]) -> Reply:
-        """Explain a decision by its record, or by its id where it is still kept."""
+        """Explain a decision, given its signed record, or its id while an entry still keeps it."""
         try:
             if "record" in query:
                 found: Decision | None = read_decision(query["record"], self._parts.decision_key)
@@ -152,10 +152,8 @@
         body = {"decision": msgspec.to_builtins(_name_fields(found)), "sentences": explain(found)}
         return Reply(200, msgspec.json.encode(body))
 
-    # Requests
-
     def _serve(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """Serve a request for a service, counted until the end of its answer."""
+        """Serve a request for a service, and count it as running until its answer ends."""
         activity = self._parts.activity
         activity.begin()
         is_streaming = False
@@ -168,7 +166,7 @@
                 activity.end()
 
     def _answer(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """Serve a request for a service."""
+        """Read a request for a service, run it, and start its answer."""
         started = time.monotonic()
         read = read_request(environ, self._parts.dispatcher.snapshot)
         if isinstance(read, Refusal):
@@ -184,7 +182,7 @@
     def _run(
         self, request: Request, body: Body, ticket: str
     ) -> Served | Answer | Refused | Refusal:
-        """Run a request as an order or as a read."""
+        """Dispatch a repeatable request directly, and any other one as an order."""
         try:
             if request.is_repeatable:
                 result: Any = self._parts.dispatcher.serve(request, body)
@@ -204,21 +202,22 @@
         start: Any,
         latency_s: float,
     ) -> Iterable[bytes]:
-        """Turn an outcome into the HTTP answer."""
+        """Start the HTTP answer of an outcome, and return its body."""
         extra = self._record(outcome, request)
         if isinstance(outcome, Served | Answer):
             answer = outcome.answer if isinstance(outcome, Served) else outcome
             self._parts.metrics.add_request(request.service, "served", latency_s)
-            # A target's own failure does not say whether it ran first.
+            # A target that answers with a server error may or may not have run the request.
             ran = "ran" if answer.status < 500 else Ran.UNKNOWN.value
             headers = [*answer.headers, *extra, ("Halldoor-Ran", ran)]
             start(f"{answer.status} {_get_phrase(answer.status)}", headers)
             return _Stream(answer, request, self._parts.activity)
         refusal = outcome.refusal if isinstance(outcome, Refused) else outcome
         self._parts.metrics.add_request(request.service, refusal.reason.value, latency_s)
-        # Overload brings refusals by the thousand: metrics count them, decisions explain them.
+        # Only at debug level: overload causes thousands of refusals, which metrics count and
+        # decisions explain.
         log.debug(
-            "Request refused.",
+            "A request was refused.",
             decision=request.id,
             reason=refusal.reason.value,
             ran=refusal.ran.value,
@@ -230,7 +229,7 @@
     def _record(
         self, outcome: Served | Answer | Refused | Refusal, request: Request
     ) -> list[tuple[str, str]]:
-        """Keep the decision and give the headers that carry it."""
+        """Store the decision, and return the headers with its id and signed record."""
         headers = [("Halldoor-Decision", request.id)]
         if isinstance(outcome, Served | Refused):
             self._parts.decisions.add(outcome.decision)
@@ -241,10 +240,10 @@
 
 
 class _Stream:
-    """The answer's body on its way to the caller.
+    """The body of an answer, as the WSGI server iterates over it.
 
-    Where it breaks off, the error reaches the server, which closes the connection
-    without the end that HTTP needs: the caller sees that the answer is cut short.
+    If the body breaks off, the error reaches the server, which closes the connection without
+    the terminator or length that HTTP requires, so the caller detects a truncated answer.
     """
 
     def __init__(self, answer: Answer, request: Request, activity: Activity) -> None:
@@ -256,11 +255,15 @@
         try:
             yield from self._answer
         except RequestError as exc:
-            log.warning("Answer cut short.", decision=self._request.id, error=str(exc))
+            log.warning(
+                "An answer broke off while it was sent to the caller.",
+                decision=self._request.id,
+                error=str(exc),
+            )
             raise
 
     def close(self) -> None:
-        """Give up the rest where the caller has gone; the server always calls this."""
+        """Discard the unread body and count the request out; the server always calls this."""
         self._answer.close()
         activity, self._activity = self._activity, None
         if activity is not None:
@@ -268,7 +271,7 @@
 
 
 def to_reply(refusal: Refusal, *, decision: str = "", close: bool = False) -> Reply:
-    """Write a refusal as an HTTP answer."""
+    """Build the HTTP answer of a refusal."""
     headers = [("Halldoor-Ran", refusal.ran.value), ("Cache-Control", "no-store")]
     if refusal.retry_after_s > 0:
         headers.append(("Retry-After", str(max(1, round(refusal.retry_after_s)))))
@@ -287,7 +290,7 @@
 
 
 def _send(start: Any, reply: Reply) -> Iterable[bytes]:
-    """Send a short answer."""
+    """Start a short HTTP answer and return its body."""
     headers = [
         ("Content-Type", reply.content_type),
         ("Content-Length", str(len(reply.body))),
@@ -301,12 +304,12 @@
 
 
 def _get_phrase(status: int) -> str:
-    """Return a reason phrase."""
+    """Return the HTTP reason phrase of a status."""
     return _PHRASES.get(status, "Answer" if status < 400 else "Refused")
 
 
 def _name_fields(decision: Decision) -> dict[str, Any]:
-    """View a decision as named fields."""
+    """Return a decision as a dict of its fields, with names for the parts of passed_over."""
     fields = {name: getattr(decision, name) for name in decision.__struct_fields__}
     fields["passed_over"] = [{"name": p.name, "why": p.why} for p in decision.passed_over]
     return fields
--- a/halldoor/tests/conftest.py
+++ b/halldoor/tests/conftest.py
@@ -10,13 +10,14 @@
 
 @pytest.fixture(scope="module")
 def two_halls():
-    """Two halls in two regions with two entries each, everything up."""
+    """A running fleet of two halls in two regions with two entries each."""
     with Fleet.open() as fleet:
         start_all(fleet, make_configuration(halls={"a1": 2, "b1": 2}))
         yield fleet
 
 
 def start_all(fleet, configuration, **changes):
+    """Start the platform, targets and entries of a configuration, and wait until all serve."""
     fleet.start_platform()
     fleet.apply(configuration)
     fleet.start_targets("targets", [t["address"]["port"] for t in configuration["targets"]])
--- a/halldoor/tests/test_answers.py
+++ b/halldoor/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Everyone receives the whole answer to their own request."""
+"""Every caller receives the complete answer to its own request."""
 
 import contextlib
 import json
@@ -23,11 +23,11 @@
 
 READ = "/s/decks/read"
 ROOM_LACKS = ("no room", "shift cap")
-"""Reasons that lack room: none here, and none here with a cap that forbids to go elsewhere."""
+"""Refusal reasons for lack of free slots: in the hall, or there and a cap forbids other halls."""
 
 
 def wait_for_free_slots(fleet, *entries):
-    """Wait until no slot is held; what a caller abandoned holds one until its deadline."""
+    """Wait until no slot is in use; an abandoned request uses one until its deadline."""
 
     def list_held():
         known = [fleet.get_json(e, "/v1/status")["targets"].items() for e in entries]
@@ -45,9 +45,9 @@
 
 
 def call_with_room(fleet, entry, path, **options):
-    """Call an entry; a request that was refused for lack of room comes back, as callers do.
+    """Call an entry, and retry while it refuses for lack of free slots, as callers do.
 
-    The fleet is shared by the module, and requests of the test before may still hold slots.
+    The fleet is shared by the module: requests of earlier tests may still use slots.
     """
     for _ in range(100):
         response = fleet.call(entry, path, **options)
@@ -68,7 +68,7 @@
         control_all(two_halls, truncate=0, stall=0, latency_s=0.01, shed_share=0.0)
 
     def test_hundred_callers_get_their_own(self, two_halls):
-        """With answers cut short and callers that go away among them."""
+        """Some answers are truncated, and some callers disconnect, during the calls."""
         control_all(two_halls, truncate=3, latency_s=0.003)
         entries = ["a1-e1", "a1-e2", "b1-e1", "b1-e2"]
         outcomes = Counter()
@@ -95,9 +95,9 @@
 
     @pytest.mark.parametrize("fault", ["truncate", "stall"])
     def test_broken_small_answer_is_asked_for_again(self, two_halls, fault):
-        # Without a slot at the other target there is nobody to ask: see test_room.TestRetry.
+        # A retry needs a free slot at the other target; test_room.TestRetry covers the lack of one.
         wait_for_free_slots(two_halls, "a1-e1", "a1-e2", "b1-e1", "b1-e2")
-        # One target of each hall, so that another one is left to ask.
+        # Only one target of each hall is faulty, so that a retry can use the other one.
         for target in ("a1-t1", "b1-t1"):
             two_halls.control(target, **{fault: 2})
         for number in range(6):
@@ -120,7 +120,7 @@
             call_with_room(two_halls, "a1-e1", f"{READ}/x?size=3000000&seed=t")
 
     def test_late_answer_never_reaches_another(self, two_halls):
-        """The deadline passes, the answer comes late, and the next request is another's."""
+        """An answer that arrives after its deadline must not be taken for the next request's."""
         control_all(two_halls, latency_s=0.3)
         for number in range(6):
             deadline = {"Halldoor-Deadline-Ms": "150"}
@@ -146,7 +146,7 @@
 
 
 class TimedRequest(Request):
-    """A request with a fixed time left."""
+    """A request with a fixed remaining time."""
 
     left_s = 0.0
 
@@ -155,7 +155,7 @@
 
 
 class TestDeadlines:
-    """A target's deadline, sent in whole milliseconds, ends up to one before the entry's own."""
+    """Forwarded deadlines are rounded down to milliseconds, so they end up to 1 ms earlier."""
 
     @pytest.mark.parametrize(
         ("left_s", "reason", "status"),
@@ -178,14 +178,14 @@
 
 
 def abandon(fleet, entry, *, work_s=0.5):
-    """Start a request and go away."""
+    """Start a request and disconnect after 0.1 s."""
     with socket.create_connection((IP, fleet.find_port(entry))) as sock:
         sock.sendall(f"GET {READ}/gone?work_s={work_s} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         time.sleep(0.1)
 
 
 class TestFrames:
-    """Replies between entries can't cross."""
+    """A reply between entries is accepted only for the call that it answers."""
 
     @pytest.mark.parametrize(("method", "sequence"), [("borrow", 8), ("get_head", 7)])
     def test_reply_to_another_call_is_refused(self, method, sequence):
@@ -217,7 +217,7 @@
         with socket.create_connection((IP, wire)) as sock:
             sock.sendall(data)
             sock.settimeout(5)
-            # The entry may have closed already, with bytes unread: then it is a reset.
+            # If the entry closed already with unread bytes, the connection is reset.
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_WR)
             with contextlib.suppress(ConnectionResetError):
@@ -247,7 +247,7 @@
         assert int(answer.split()[1]) == status
 
     def test_no_room_at_home_may_be_refused_by_the_cap(self, two_halls):
-        """Without room at home, a cap that is used up is the reason that callers are told."""
+        """If no home slot is free and the cap is used up, the refusal may name the cap."""
         control_all(two_halls, latency_s=0.3)
         try:
             with ThreadPoolExecutor(24) as pool:
@@ -272,7 +272,7 @@
             results = []
 
             def call():
-                # Eight at once are more than the entry's six slots.
+                # Eight concurrent calls exceed the entry's six slots.
                 results.append(call_with_room(two_halls, "a1-e1", f"{READ}/x").status)
 
             threads = [threading.Thread(target=call) for _ in range(8)]
--- a/halldoor/tests/test_cancel.py
+++ b/halldoor/tests/test_cancel.py
@@ -1,4 +1,4 @@
-"""A caller that goes away ends its own request, and no other's."""
+"""A caller that disconnects cancels its own request, and no other caller's."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @contextlib.contextmanager
 def open_pair():
-    """Open an entry's socket and its caller's."""
+    """Open a connected pair of sockets: the entry's and its caller's."""
     own, caller = socket.socketpair()
     with own, caller:
         yield own, caller
 
 
 class LateEvents:
-    """Tells once that a socket closed: by then its number is another caller's."""
+    """Fake epoll that reports a close event once, after the descriptor was reused."""
 
     def __init__(self, watcher, number):
         self.watcher, self.number = watcher, number
@@ -45,12 +45,11 @@
         watcher.stop()
 
     def test_one_that_stays_is_not_taken_for_the_one_that_had_its_number(self):
-        """An entry told a caller who was waiting that the caller went away, on a busy machine.
+        """On a busy machine, a request was cancelled although its caller was still waiting.
 
-        The event of a closed socket was read, and before it was handled that request ended and
-        its socket's number went to the next caller, whose request was cancelled for it.
-
-            retry_after_s 0.0, which of all refusals of a read only "The caller went away." has
+        After the close event of one socket was read, its request finished and its descriptor
+        was reused for the next caller, whose request was then cancelled instead.  Seen as a
+        refusal with retry_after_s 0.0, which for reads only "The caller disconnected." has.
         """
         watcher, is_gone = CallerWatcher(), threading.Event()
         with open_pair() as (own, _):
--- a/halldoor/tests/test_configuration.py
+++ b/halldoor/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and never reverts."""
+"""An accepted configuration reaches every entry, and revisions never decrease."""
 
 import contextlib
 import threading
@@ -16,7 +16,7 @@
 
 
 class Watcher(Background):
-    """Notes every revision that entries show, and any that falls."""
+    """Polls the entries' revisions, and records each decrease within one process."""
 
     def __init__(self, fleet, names):
         super().__init__(names)
@@ -96,7 +96,7 @@
                 revision = drain(fleet, "c2-t1")
                 fleet.wait_ready(*others, revision=revision)
                 assert {fleet.get_revision(n) for n in cut_off} == {before}
-                # An entry that restarts in the cut-off hall learns from its peer.
+                # An entry that restarts in the cut-off hall fetches the revision from its peer.
                 fleet.kill("a1-e1")
                 fleet.restart_entry("a1-e1")
                 fleet.wait_ready("a1-e1", revision=before)
--- a/halldoor/tests/test_fleet_start.py
+++ b/halldoor/tests/test_fleet_start.py
@@ -1,4 +1,4 @@
-"""An installation for tests comes up on a busy machine, too."""
+"""A test fleet starts on a busy machine as well."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def answer_late(server, after_s):
-    """Accept a first caller and leave it alone; answer the ones that come later."""
+    """Accept a first connection without answering it, and answer the second."""
     with server.accept()[0] as first:
         first.settimeout(after_s)
         while first.recv(4096):
-            pass  # Until it gives up.
+            pass  # Until the first caller closes its connection.
     with server.accept()[0] as second:
         second.recv(4096)
         second.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
@@ -22,10 +22,11 @@
 
 class TestStart:
     def test_the_platform_is_up_once_it_answers(self, monkeypatch):
-        """Four tests had set-up errors at a load of 20, six of another file at one of 17.
+        """The fleet's start failed when the stand-in platform's first answer was late.
 
-        The stand-in's port is open a while before its threads serve it, and the first call to it
-        has one second:
+        Its port is open some time before its threads serve it, and the first call to it has a
+        timeout of one second.  Four tests had set-up errors at a load of 20, and six tests of
+        another file at a load of 17:
 
             PlatformError: The platform did not answer GET /kv/config/head: ReadTimeoutError.
         """
--- a/halldoor/tests/test_gossip.py
+++ b/halldoor/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""How an entry finds peers before it knows a configuration."""
+"""How an entry without a configuration contacts its seeds."""
 
 import math
 
@@ -11,7 +11,7 @@
 
 
 class SilentPeers:
-    """Peers that never answer, as behind a cut."""
+    """Peers that never answer, as during a network partition."""
 
     def __init__(self):
         self.asked = []
@@ -29,7 +29,7 @@
 class TestSeeds:
     @pytest.mark.parametrize("count", [1, 2, 11, 24])
     def test_every_seed_is_asked_in_turn(self, count):
-        """One seed in reach among many was drawn at random, and missed for 20 s now and then."""
+        """When seeds were drawn at random, the only reachable one was sometimes missed for 20 s."""
         peers = SilentPeers()
         seeds = [Address("127.0.0.1", port) for port in range(1, count + 1)]
         gossip = build_gossip(peers, seeds)
--- a/halldoor/tests/test_leaving.py
+++ b/halldoor/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving and stopping: no new work after a few seconds, and no request cut off."""
+"""Leaving targets and stopping entries: no new requests after seconds, and none cut off."""
 
 import json
 import threading
@@ -12,7 +12,7 @@
 from halldoor.tests.test_room import Flood
 
 READ = "/s/decks/read/x"
-# The promise is 3 s; the tests wait for the event itself and leave the time to the benchmarks.
+# The limit is 3 s; benchmarks measure it, while these tests only wait for the event.
 
 
 def read_stats(fleet, target):
@@ -56,13 +56,13 @@
             time.sleep(0.2)
             before = count_answered(fleet, "a1-t1")
             arrivals = fleet.get_json("a1-t1", "/stats")["arrivals_leaving"]
-            # Longer than the memory of one report, so that it has to be kept fresh.
+            # Longer than one report is remembered, so that it has to be repeated.
             time.sleep(5.0)
             flood.wait_for(50)
         assert count_answered(fleet, "a1-t1") == before
         assert fleet.get_json("a1-t1", "/stats")["arrivals_leaving"] == arrivals
         assert set(flood.outcomes) == {"ran"}
-        # It comes back once nobody says so any more, also where the relays changed meanwhile.
+        # The target is used again once no source reports it as leaving, even if the relays changed.
         fleet.http.request("PUT", f"{fleet.platform_url}/hosts", body=json.dumps({"a1-t1": False}))
         fleet.control("a1-t1", leaving=False)
         assert fleet.run_cli("drain", "b1-t1").returncode == 0
@@ -79,7 +79,7 @@
             wait_until(
                 lambda: is_left_alone(fleet, ["a1-e1", "a1-e2"], "a1-t1"), what="leaving known"
             )
-            # What was sent before may still run; nothing may follow it.
+            # Requests sent earlier may still run, but no new ones may arrive.
             time.sleep(0.2)
             wait_until(lambda: read_stats(fleet, "a1-t1")["in_flight"] == 0, what="the rest ended")
             before = read_stats(fleet, "a1-t1")
@@ -88,7 +88,7 @@
         assert set(flood.outcomes) == {"ran"}
 
     def test_status_shows_what_a_drain_waits_for(self, fleet):
-        # Long enough for two runs of the command line on a busy machine; the deadline is 8 s.
+        # 6.5 s allow two runs of the command line on a busy machine; the deadline is 8 s.
         caller = threading.Thread(
             target=lambda: [fleet.call("a1-e1", f"{READ}?work_s=6.5") for _ in range(1)]
         )
@@ -112,14 +112,14 @@
 
 
 class Caller:
-    """A caller that keeps look-up answers as long as it may, and asks the entries in order."""
+    """A caller that caches look-up answers for max_age_s, and tries the entries in order."""
 
     def __init__(self, fleet, entries):
         self.fleet, self.known = fleet, entries
         self.cached, self.until = [], 0.0
 
     def read(self):
-        """Send one read to the first entry that takes the connection."""
+        """Send one read to the first entry that accepts a connection."""
         if time.monotonic() >= self.until:
             self._look_up()
         for entry in self.cached:
@@ -143,7 +143,7 @@
 
 class TestPlannedStop:
     def test_every_entry_of_a_hall_one_by_one(self, fleet):
-        """Also for callers that hold look-up answers from before the stop."""
+        """Callers with look-up answers cached before a stop must not fail either."""
         outcomes, is_over = [], threading.Event()
 
         def call():
@@ -176,7 +176,7 @@
         assert len(outcomes) > 100
 
     def test_request_forwarded_to_another_hall_outlasts_the_stop(self, fleet):
-        """The stopping entry has it on no target of its own."""
+        """The stopping entry must also wait for requests that run in another hall."""
         for target in ("a1-t1", "a1-t2"):
             fleet.control(target, leaving=True)
         wait_until(
@@ -184,7 +184,7 @@
             what="targets leaving",
         )
         outcomes = []
-        # Longer than the entry goes on listening for callers with kept look-ups.
+        # Longer than the entry keeps serving callers with cached look-up answers.
         caller = threading.Thread(
             target=lambda: outcomes.append(fleet.call("a1-e1", f"{READ}?work_s=5.5").status)
         )
--- a/halldoor/tests/test_operators.py
+++ b/halldoor/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' journeys, and the command line's handling of bad input."""
+"""Operators' scenarios (operators.feature), and the command line's errors for bad input."""
 
 from hashlib import sha256
 
--- a/halldoor/tests/test_orders.py
+++ b/halldoor/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""At most once, and "not run" is true: real processes, kills, freezes, outages, repeats."""
+"""Orders run at most once, and "not run" is never wrong, despite process and network faults."""
 
 import json
 import signal
@@ -20,13 +20,13 @@
 
 
 def make_id():
-    """Make a version 7 UUID; the time part only has to be plausible."""
+    """Make a version 7 UUID with the current time and a serial number."""
     value = (int(time.time() * 1000) << 80) | (7 << 76) | (2 << 62) | next(_serial)
     return str(uuid.UUID(int=value))
 
 
 def send(fleet, entry, *, ticket="", operation="", query="", deadline_ms=0):
-    """Send an order and give its outcome: what was told, and the status."""
+    """Send an order, and return the Halldoor-Ran header and the status of its answer."""
     headers = {}
     if ticket:
         headers["Halldoor-Ticket"] = ticket
@@ -42,7 +42,7 @@
 
 
 def count_runs(fleet):
-    """Count runs by operation id over all targets."""
+    """Count the runs of each operation id over all targets."""
     runs = Counter()
     for target in fleet.configuration["targets"]:
         runs.update(fleet.get_json(target["name"], "/stats")["runs"])
@@ -50,7 +50,7 @@
 
 
 def read_operation(ticket):
-    """Read the operation id out of a ticket."""
+    """Return the operation id of a ticket."""
     from halldoor.core.orders.ticket import decode_ticket
 
     return decode_ticket(ticket)[0].operation
@@ -69,7 +69,7 @@
 
 
 class TestRepeats:
-    """Faults that leave every process running share one fleet."""
+    """Repeated orders without faults; the tests share one fleet."""
 
     def test_one_ticket_through_every_entry_at_once(self, two_halls):
         ticket = two_halls.get_ticket("a1-e1")
@@ -149,7 +149,7 @@
         assert response.headers["Halldoor-Ran"] == "not run"
         assert count_runs(two_halls)[operation] == 0
         control_all(two_halls, shed_share=0.0)
-        # A late copy of the first call must not run after its caller was told no.
+        # A late copy of the first call must not run after its caller received "not run".
         assert send(two_halls, "b1-e1", operation=operation)[0] == "not run"
         assert count_runs(two_halls)[operation] == 0
         fresh = response.headers["Halldoor-Ticket"]
@@ -210,7 +210,7 @@
             assert send(two_halls, "b1-e1", ticket=ticket) == ("ran", 200)
             fresh = make_id()
             told = [send(two_halls, e, operation=fresh)[0] for e in ENTRIES]
-            # "Not run" would be a lie for an id that ran elsewhere before the outage.
+            # "Not run" would be wrong for an id that ran at another entry before the outage.
             told += [send(two_halls, "b1-e2", operation=ran_before)[0]]
             assert set(told) == {"outcome unknown"}
         finally:
@@ -238,7 +238,7 @@
 
 
 class TestProcesses:
-    """Faults of processes; each gets a fleet of its own."""
+    """Faults of processes; each test has its own fleet."""
 
     def test_issuer_killed_before_during_and_after(self, fleet):
         before, during, after = (fleet.get_ticket("a1-e1") for _ in range(3))
@@ -266,7 +266,7 @@
         assert runs[read_operation(after)] == 1
 
     def test_entry_that_starts_says_no_more_than_it_knows(self, fleet):
-        """Found by the soak: an entry without a configuration told 'not run' of what ran."""
+        """An entry without a configuration answered 'not run' for an order that ran (soak test)."""
         ticket = fleet.get_ticket("a1-e1")
         assert send(fleet, "a1-e2", ticket=ticket) == ("ran", 200)
         fleet.kill("platform")
@@ -316,7 +316,7 @@
         time.sleep(0.3)
         stopper = threading.Thread(target=fleet.stop, args=("a1-e1",))
         stopper.start()
-        # A caller that holds a ticket from before the stop is still served.
+        # A caller with a ticket issued before the stop is still served.
         time.sleep(0.5)
         assert send(fleet, "b1-e1", ticket=late) == ("ran", 200)
         caller.join()
--- a/halldoor/tests/test_room.py
+++ b/halldoor/tests/test_room.py
@@ -1,4 +1,4 @@
-"""No target, hall or link is overloaded: judged by the targets' own counts."""
+"""No target or link gets more requests than its limit, by the targets' own counts."""
 
 import random
 import signal
@@ -31,7 +31,7 @@
 
 
 class Flood(Background):
-    """Callers that keep more requests going than there is room for."""
+    """Callers that together send more concurrent requests than there are slots."""
 
     def __init__(self, fleet, entries, *, callers=10, path=f"{READ}?work_s=0.04"):
         super().__init__([e for e in entries for _ in range(callers)])
@@ -50,7 +50,7 @@
                 time.sleep(0.05)
 
     def wait_for(self, count):
-        """Wait until that many more requests were served."""
+        """Wait until ``count`` more requests have been served."""
         wanted = self.outcomes["ran"] + count
         wait_until(lambda: self.outcomes["ran"] >= wanted, what="requests served", limit_s=60)
 
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def hall():
-    """One hall of two entries behind relays, so that they can be cut from each other."""
+    """A fleet of one hall with two entries behind relays, which can partition them."""
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 2}, deadline_s=DEADLINE_S)
         fleet.use_relays(configuration)
@@ -127,7 +127,7 @@
         assert_within_slots(hall)
 
     def test_target_that_goes_on_with_what_was_cancelled(self, hall):
-        """A slot rests until the deadline when its caller left before the answer."""
+        """A slot stays unused until the deadline if its caller disconnected before the answer."""
         control_all(hall, ignore_cancel=True)
         wait_until(lambda: knows_peer(hall, "a1-e1"), what="peer known")
         wait_for_free_slots(hall, "a1-e1")
@@ -138,11 +138,11 @@
         assert_within_slots(hall)
 
     def test_roster_change_while_a_former_entry_does_not_know(self, hall):
-        """A new entry takes over slots only after the cut-off former home has adopted."""
+        """An entry takes over slots only once their former, cut-off owner has the new revision."""
         configuration = hall.configuration
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(50)
-            # a1-e1 is cut off from its peer and from the platform, and goes on serving.
+            # a1-e1 is cut off from its peer and from the platform, but keeps serving.
             hall.cut("127.0.1.1", "127.0.1.2")
             hall.cut("127.0.1.1", "127.0.0.")
             time.sleep(0.5)
@@ -165,7 +165,7 @@
 
 
 def build_room(*, targets):
-    """Build the room of a hall with one entry and one slot a target."""
+    """Build the admission of a hall with one entry and one slot per target."""
     data = make_configuration(halls={"a1": 1}, targets=targets, slots=1)
     snapshot = Snapshot.from_configuration(
         Configuration.from_data(data), revision=1, hall="a1", blocks=BlockTable()
@@ -183,7 +183,7 @@
 
 
 class FirstBreaksClient:
-    """Targets of which the first one asked breaks off."""
+    """A target client whose first send fails after the request may have run."""
 
     def __init__(self):
         self.asked = []
@@ -199,7 +199,7 @@
 class TestRetry:
     @pytest.mark.parametrize(("free_after_s", "is_served"), [(0.05, True), (0.6, False)])
     def test_a_retry_waits_for_a_slot_as_the_first_attempt_may(self, free_after_s, is_served):
-        """And where none frees in that time, the caller is told that it may have run."""
+        """If no slot is freed in that time, the refusal says that the request may have run."""
         room, client = build_room(targets=2), FirstBreaksClient()
         local = LocalHall(room, client, queue_s=0.3)
         until = time.monotonic() + 60
@@ -235,7 +235,7 @@
 
 class TestLoans:
     def test_slot_of_a_borrower_that_died_comes_back_to_its_home(self):
-        """Also where nobody asks for a loan again."""
+        """The loan expires at the next admission, without another loan request."""
         room = build_room(targets=1)
         assert room.lend(["a1-t1"], "a1-e2", 0.01) is not None
         until = time.monotonic() + 60
@@ -244,10 +244,10 @@
         assert isinstance(room.admit(["a1-t1"], until=until), Success)
 
     def test_a_loan_that_lapsed_is_reported_free_though_nobody_asks(self):
-        """A borrower's message that it gave a slot back was lost, and the slot stayed lent.
+        """A slot stayed lent after the borrower's return message was lost.
 
-        It lapsed at the next request only.  An entry without any reported one slot too few for as
-        long, so that its peers went elsewhere; a test that waited for free slots waited in vain.
+        The loan expired only at the lender's next request.  An idle lender reported one free
+        slot too few until then, so its peers borrowed elsewhere, and a test timed out:
 
             slots free: not within 20.0 s; held: [('b1-e2', 'b1-t2', {'home': 3, 'free': 2,
             'busy': 0, 'lent': 1, 'in_flight': 0, 'leaving': False})]
--- a/halldoor/tests/test_shifts.py
+++ b/halldoor/tests/test_shifts.py
@@ -1,4 +1,4 @@
-"""A shift never exceeds its cap, measured on requests that landed."""
+"""A shift never moves more than its cap, measured by the targets' request counts."""
 
 import threading
 from collections import Counter
@@ -25,7 +25,7 @@
 
 
 def send_reads(fleet, count, *, entries=ENTRIES, big_share=0.0):
-    """Send reads of many client blocks, a share of them from one, and count outcomes."""
+    """Send reads of many client blocks, ``big_share`` from one, and count their statuses."""
     outcomes = Counter()
 
     def call(worker):
@@ -62,14 +62,14 @@
 class TestCap:
     @pytest.mark.parametrize("big_share", [0.0, 0.4])
     def test_cap_holds_and_is_used(self, fleet, big_share):
-        """Also where one client block is 40% of the traffic, and is chosen."""
+        """The cap holds even if one client block has 40% of the traffic and is chosen to move."""
         assert set(send_reads(fleet, 600, big_share=big_share)) == {200}
         landed = count_landed(fleet, "b")
         assert landed <= 0.2 * 600
         assert landed >= 0.05 * 600
 
     def test_one_big_block_alone_is_moved_up_to_the_cap_only(self, fleet):
-        # Whichever position chooses the block, no more than the cap of it may move.
+        # Even if the only client block is chosen, no more than the cap of its requests may move.
         fleet.apply(
             {**fleet.configuration, "shifts": [make_shift(cap=0.25, position=0.25)]},
             change_id="all-in",
@@ -89,7 +89,7 @@
         for target in ("a1-t1", "a1-t2"):
             fleet.control(target, shed_share=1.0)
         outcomes = send_reads(fleet, 300)
-        # What may not move is refused, with when to come back, and nothing else is lost.
+        # Requests that may not move are refused with Retry-After, and no others fail.
         assert set(outcomes) <= {200, 503}
         assert count_landed(fleet, "b") <= 0.1 * 600
         response = fleet.call("a1-e1", "/s/decks/read/x")
@@ -104,7 +104,7 @@
         fleet.restart_entry("a1-e1")
         fleet.wait_ready("a1-e1")
         send_reads(fleet, 200)
-        # One entry is frozen while the cap is lowered; it wakes on the old revision.
+        # The position is lowered; entries may still serve the old revision.
         done = fleet.run_cli("shift", "step", "to-b", "--position", "0.05")
         assert done.returncode == 0, done.stderr
         send_reads(fleet, 200)
