--- a/halldoor/entry/hall.py
+++ b/halldoor/entry/hall.py
@@ -74,8 +74,8 @@
     def adopt(self, snapshot: Snapshot) -> None:
         """Apply a new configuration revision to slots and health.
 
-        Targets that the revision adds are marked cold.  On the first revision, slots rest for
-        `Snapshot.rest_s` only if ``rest_at_start`` is set.
+        Added targets are marked cold.  The first revision's slots rest for `Snapshot.rest_s`
+        only if ``rest_at_start`` is set.
         """
         now = time.monotonic()
         is_first = self._snapshot is None
@@ -141,9 +141,7 @@
             names = self._list_candidates(targets, excluded, now, passed_over)
             if is_spill and not self._has_headroom(targets, now):
                 return Failure(
-                    self._refuse(
-                        Reason.NO_ROOM, "keeps its last free slots for its own callers", passed_over
-                    )
+                    self._refuse(Reason.NO_ROOM, "keeps its slots for its own callers", passed_over)
                 )
             admission = self._take_own(names, until, now, passed_over)
         if admission is None and names and until > now:
@@ -154,14 +152,8 @@
         if admission is not None:
             return Success(admission)
         if not names:
-            return Failure(
-                self._refuse(
-                    Reason.NO_TARGET, "has no healthy target for this request now", passed_over
-                )
-            )
-        return Failure(
-            self._refuse(Reason.NO_ROOM, "has no free slot for this request now", passed_over)
-        )
+            return Failure(self._refuse(Reason.NO_TARGET, "has no healthy target", passed_over))
+        return Failure(self._refuse(Reason.NO_ROOM, "has no free slot", passed_over))
 
     def _wait(
         self, targets: Sequence[str], *, until: float, excluded: frozenset[str], wait_s: float
