--- a/halldoor/entry/claims.py
+++ b/halldoor/entry/claims.py
@@ -23,9 +23,11 @@
 from halldoor.keyvalue.base import Platform, UncertainWriteError, WriteConflictError
 
 TRIES = 6
+"""Attempts to write a shard that other processes write at the same time."""
 PAUSE_S = 0.3
 """Most seconds after a slow failure in which claim requests fail at once, without waiting."""
 WAIT_S = 3.0
+"""Seconds that a request for a claim waits for its result."""
 
 Holder = Result[Claim | None, PlatformError]
 
@@ -38,7 +40,7 @@
 
 
 class Claims(Task[ClaimRequest]):
-    """Owns the platform connection for claims.
+    """Claims operation ids in the platform, in batches.
 
     Requests that arrive during a write are claimed together by the next write, so writes
     per order fall as load rises.
@@ -72,7 +74,7 @@
         self.claimed = 0
 
     def ask(self, operation: str) -> Holder:
-        """Claim an id and return its holder; ``Failure`` if the platform doesn't answer in time."""
+        """Claim an id and return its holder; ``Failure`` if the platform fails or is slow."""
         reply: queue.SimpleQueue[Holder] = queue.SimpleQueue()
         self.tell(ClaimRequest(operation, reply))
         try:
--- a/halldoor/entry/configuration.py
+++ b/halldoor/entry/configuration.py
@@ -37,8 +37,10 @@
 from halldoor.wire.protocol import idl
 
 WATCH_S = 15.0
+"""Seconds after which a watch call on the platform returns without a change."""
 RETRY_S = 0.5
 CHECK_S = 0.25
+"""Seconds between checks whether this entry has become a relay."""
 
 
 class Newer(NamedTuple):
--- a/halldoor/entry/dispatch.py
+++ b/halldoor/entry/dispatch.py
@@ -205,7 +205,7 @@
         return result
 
     def _release(self, share: LinkShare | None, size: int) -> None:
-        """Release reserved link capacity; without a link limit there is none."""
+        """Release reserved link capacity; do nothing if the link has no limit."""
         if share is None:
             return
         with self._lock:
--- a/halldoor/entry/gossip.py
+++ b/halldoor/entry/gossip.py
@@ -50,6 +50,19 @@
         Wire addresses to contact until a configuration is known.
     period_s : float
         Seconds between exchanges, in halls of up to `LARGE_HALL` entries.
+
+    Attributes
+    ----------
+    get_reports : callable
+        Returns this entry's target reports for its heartbeats.
+    on_reports : callable
+        Called with the records of peers, to apply their target reports.
+    on_revision : callable
+        Called with a newer revision and the wire address of the peer that has it.
+    on_revisions : callable
+        Called with the adopted revision of each live peer of the hall, by name.
+    on_change : callable
+        Called when the hall's live entries or the leaving entries change.
     """
 
     def __init__(
--- a/halldoor/entry/local.py
+++ b/halldoor/entry/local.py
@@ -17,6 +17,7 @@
 from halldoor.entry.targets import PREFETCH, Fault, TargetClient, TargetFault
 
 ATTEMPTS = 3
+"""Most sends of one request to targets of this hall."""
 
 
 class LocalHall:
--- a/halldoor/entry/lookups.py
+++ b/halldoor/entry/lookups.py
@@ -12,6 +12,7 @@
 from halldoor.core.steering.snapshot import ServiceView, Snapshot, order_halls
 
 ENTRIES_LISTED = 6
+"""Most entries in one look-up answer."""
 
 
 class LookupTable:
--- a/halldoor/entry/orders.py
+++ b/halldoor/entry/orders.py
@@ -38,6 +38,7 @@
 from halldoor.wire.convert import from_refusal
 
 KEPT_BODY = 65_536
+"""Largest answer body, in bytes, that is stored for repeats of an order."""
 
 Serve = Callable[[Request, Body], Result[Served, Refused]]
 FindEntry = Callable[[str], EntryHost | None]
--- a/halldoor/entry/probe.py
+++ b/halldoor/entry/probe.py
@@ -24,8 +24,10 @@
 PROBERS = 2
 """Number of entries that probe each target; the others use their reports in heartbeats."""
 FAILURES_TO_BELIEVE = 2
+"""Failed probes in a row after which a target counts as unhealthy."""
 HOST_LIST_S = 1.0
 COLD_AGE_S = 5.0
+"""Seconds of age below which a target can count as restarted, and so as cold."""
 
 
 class TargetHealth(msgspec.Struct):
--- a/halldoor/entry/process.py
+++ b/halldoor/entry/process.py
@@ -49,12 +49,13 @@
 log = structlog.get_logger(part="entry")
 
 STOP_LIMIT_S = 60.0
+"""Most seconds that a stopping entry waits for its last request."""
 QUIET_S = 0.5
 """Seconds without any running request after which a stopping entry exits."""
 
 
 class EntryProcess:
-    """One ``halldoor-entry``.
+    """The ``halldoor-entry`` process: its components, and how they start and stop.
 
     Parameters
     ----------
--- a/halldoor/entry/remote.py
+++ b/halldoor/entry/remote.py
@@ -208,7 +208,7 @@
         if chunk.refusal is not None:
             raise RequestError(from_refusal(chunk.refusal))
         if chunk.index != index:
-            raise break_off("A chunk of another answer came; this one is given up.")
+            raise break_off("A chunk of another answer arrived, so this answer is discarded.")
         data, is_last = chunk.data or b"", chunk.last
 
 
--- a/halldoor/entry/sessions.py
+++ b/halldoor/entry/sessions.py
@@ -156,7 +156,7 @@
         except RequestError as exc:
             return _start_refused(exc.refusal)
         except Exception:
-            # The other entry waits for a reply, and this may be a thread without another handler.
+            # The forwarding entry waits for a reply, also if a separate thread runs the request.
             log.exception("A forwarded request failed with an unexpected error.")
             message = "The entry failed. Its log says more."
             return _start_refused(refuse_unknown(Reason.BROKEN, message))
--- a/halldoor/tests/test_configuration.py
+++ b/halldoor/tests/test_configuration.py
@@ -47,6 +47,7 @@
 
 
 def drain(fleet, target="a1-t1", *, back=False, change_id=""):
+    """Drain a target, or end its drain with ``back``, and return the new revision."""
     options = ["--back"] if back else []
     options += ["--change-id", change_id] if change_id else []
     done = fleet.run_cli("drain", target, *options)
--- a/halldoor/tests/test_leaving.py
+++ b/halldoor/tests/test_leaving.py
@@ -20,6 +20,7 @@
 
 
 def count_answered(fleet, target):
+    """Count the requests that a target has answered."""
     return read_stats(fleet, target)["outcomes"].get("answered", 0)
 
 
--- a/halldoor/tests/test_orders.py
+++ b/halldoor/tests/test_orders.py
@@ -57,6 +57,7 @@
 
 
 def control_all(fleet, **behaviour):
+    """Set the same fault behaviour at all targets."""
     for target in fleet.configuration["targets"]:
         fleet.control(target["name"], **behaviour)
 
--- a/halldoor/tests/test_room.py
+++ b/halldoor/tests/test_room.py
@@ -60,6 +60,7 @@
 
 
 def assert_within_slots(fleet):
+    """Check that no target ever had more requests in flight than it has slots."""
     over = {n: s["greatest"] for n, s in read_stats(fleet).items() if s["greatest"] > s["slots"]}
     assert not over, f"more in flight than slots: {over}"
 
@@ -76,6 +77,7 @@
 
 class TestRoom:
     def test_every_slot_is_used_and_none_twice(self, hall):
+        """Under overload the entries use at least 11 slots, and no target exceeds its slots."""
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(300)
         assert_within_slots(hall)
@@ -99,6 +101,7 @@
         assert_within_slots(hall)
 
     def test_frozen_entry_that_wakes(self, hall):
+        """An entry suspended for longer than the deadline must not use expired slots."""
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(100)
             for _ in range(2):
@@ -118,6 +121,7 @@
         assert_within_slots(hall)
 
     def test_lying_reports_and_timeouts_and_callers_that_leave(self, hall):
+        """Targets report a load of 0, close connections after a run, and stall answers."""
         control_all(hall, report_load=0.0)
         path = f"{READ}?work_s=0.5"
         with Flood(hall, ["a1-e1", "a1-e2"], path=path) as flood:
@@ -217,6 +221,7 @@
 
 
 def make_read(deadline):
+    """Make a repeatable request with a deadline in monotonic seconds."""
     return Request(
         id="d1",
         service="decks",
@@ -260,6 +265,7 @@
 
 
 def knows_peer(fleet, name):
+    """Check whether an entry has received its peer's membership record."""
     return len(fleet.get_json(name, "/v1/status")["members"]) > 1
 
 
--- a/halldoor/tests/test_shifts.py
+++ b/halldoor/tests/test_shifts.py
@@ -45,6 +45,7 @@
 
 
 def count_landed(fleet, region):
+    """Count the requests that the targets of a region have run."""
     names = [t["name"] for t in fleet.configuration["targets"] if t["hall"][0] == region]
     return sum(fleet.get_json(n, "/stats")["runs"].get("(none)", 0) for n in names)
 
