--- a/halldoor/entry/claims.py
+++ b/halldoor/entry/claims.py
@@ -1,4 +1,4 @@
-"""A task that claims operation ids in the platform, many with one write."""
+"""A task that claims operation ids in the platform, in batches of one write per shard."""
 
 from __future__ import annotations
 
@@ -23,48 +23,50 @@
 from halldoor.keyvalue.base import Platform, UncertainWriteError, WriteConflictError
 
 TRIES = 6
+"""Attempts to write a shard that other processes write at the same time."""
 PAUSE_S = 0.3
-"""Longest time after a slow failure in which requests fail at once, so nobody waits in vain."""
+"""Most seconds after a slow failure in which claim requests fail at once, without waiting."""
 WAIT_S = 3.0
+"""Seconds that a request for a claim waits for its result."""
 
 Holder = Result[Claim | None, PlatformError]
 
 
 class ClaimRequest(NamedTuple):
-    """A request to claim one id; the reply goes into its queue."""
+    """A request to claim one id; the result is put into its reply queue."""
 
     operation: str
     reply: queue.SimpleQueue[Holder]
 
 
 class Claims(Task[ClaimRequest]):
-    """Owns the platform connection for claims.
+    """Claims operation ids in the platform, in batches.
 
-    Requests that come while a write is under way are taken together by the next,
-    so writes per order fall as load rises.
+    Requests that arrive during a write are claimed together by the next write, so writes
+    per order fall as load rises.
 
     Parameters
     ----------
     platform : Platform
         The key-value service.
     me : Claim
-        This process.
+        The claim that names this process as the holder.
 
     Attributes
     ----------
     on_new : callable
-        Called with each id that this process has just claimed, before anyone is
-        told, so that whoever learns of the claim finds the ticket.  An id claimed
-        earlier, whose ticket was since forgotten, is never given to it again.
+        Called with each id that this process has just claimed, before its requesters
+        receive the claim, so that its ticket exists by then.  Never called again for an id
+        claimed earlier, even if its ticket has been forgotten since.
     """
 
     def __init__(self, platform: Platform, me: Claim) -> None:
         super().__init__("claims", period_s=1.0)
         self._platform = platform
         self._me = me
-        # What the last write left there; saves the read where nobody else wrote since.
+        # Shard and version after the last write; saves a read if no other process wrote since.
         self._known: dict[int, tuple[Shard, int]] = {}
-        # Ids whose claim may have been written although this process was told nothing.
+        # Ids whose claim may have been written although the write failed here.
         self._uncertain: set[str] = set()
         self.on_new: Callable[[str], None] = lambda operation: None
         self._down_until = 0.0
@@ -72,7 +74,7 @@
         self.claimed = 0
 
     def ask(self, operation: str) -> Holder:
-        """Claim an id and wait for its holder; ``Failure`` where the platform can't tell."""
+        """Claim an id and return its holder; ``Failure`` if the platform fails or is slow."""
         reply: queue.SimpleQueue[Holder] = queue.SimpleQueue()
         self.tell(ClaimRequest(operation, reply))
         try:
@@ -88,7 +90,7 @@
         for shard, requests in by_shard.items():
             operations = {r.operation for r in requests}
             if time.monotonic() < self._down_until:
-                error = PlatformError("The platform failed just now.", remedy="Come back.")
+                error = PlatformError("The platform failed just now.", remedy="Retry later.")
                 for request in requests:
                     request.reply.put(Failure(error))
                 continue
@@ -96,7 +98,7 @@
             try:
                 holders = self._claim(shard, operations)
             except PlatformError as exc:
-                # A platform that refuses at once costs nobody any time: it is asked again.
+                # Fail fast for half the failed call's time, so an instant failure blocks nothing.
                 now = time.monotonic()
                 self._down_until = now + min(PAUSE_S, (now - started) / 2)
                 self._known.pop(shard, None)
@@ -108,10 +110,10 @@
                 request.reply.put(Success(holders[request.operation]))
 
     def _claim(self, number: int, operations: set[str]) -> dict[str, Claim | None]:
-        """Claim ids of one shard by compare-and-swap.
+        """Claim ids of one shard by compare-and-swap, and return their holders.
 
-        A write whose answer was lost is read back by the next turn of the loop: if
-        it took effect, the ids have this process as their holder.
+        After a write whose answer was lost, the next iteration reads the shard back: if the
+        write took effect, this process is the holder of the ids.
         """
         new: set[str] = set()
         for _ in range(TRIES):
@@ -136,7 +138,7 @@
         raise PlatformError("Many write the same shard at once.", remedy="Repeat the same id.")
 
     def _read(self, number: int) -> tuple[Shard, int]:
-        """Read a shard and its version."""
+        """Read a shard and its version from the platform."""
         value = self._platform.get(to_key(number))
         if value is None:
             return Shard(), 0
--- a/halldoor/tests/test_room.py
+++ b/halldoor/tests/test_room.py
@@ -1,4 +1,4 @@
-"""No target, hall or link is overloaded: judged by the targets' own counts."""
+"""No target or link gets more requests than its limit, by the targets' own counts."""
 
 import random
 import signal
@@ -31,7 +31,7 @@
 
 
 class Flood(Background):
-    """Callers that keep more requests going than there is room for."""
+    """Callers that together send more concurrent requests than there are slots."""
 
     def __init__(self, fleet, entries, *, callers=10, path=f"{READ}?work_s=0.04"):
         super().__init__([e for e in entries for _ in range(callers)])
@@ -50,7 +50,7 @@
                 time.sleep(0.05)
 
     def wait_for(self, count):
-        """Wait until that many more requests were served."""
+        """Wait until ``count`` more requests have been served."""
         wanted = self.outcomes["ran"] + count
         wait_until(lambda: self.outcomes["ran"] >= wanted, what="requests served", limit_s=60)
 
@@ -60,13 +60,14 @@
 
 
 def assert_within_slots(fleet):
+    """Check that no target ever had more requests in flight than it has slots."""
     over = {n: s["greatest"] for n, s in read_stats(fleet).items() if s["greatest"] > s["slots"]}
     assert not over, f"more in flight than slots: {over}"
 
 
 @pytest.fixture
 def hall():
-    """One hall of two entries behind relays, so that they can be cut from each other."""
+    """A fleet of one hall with two entries behind relays, which can partition them."""
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 2}, deadline_s=DEADLINE_S)
         fleet.use_relays(configuration)
@@ -76,6 +77,7 @@
 
 class TestRoom:
     def test_every_slot_is_used_and_none_twice(self, hall):
+        """Under overload the entries use at least 11 slots, and no target exceeds its slots."""
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(300)
         assert_within_slots(hall)
@@ -99,6 +101,7 @@
         assert_within_slots(hall)
 
     def test_frozen_entry_that_wakes(self, hall):
+        """An entry suspended for longer than the deadline must not use expired slots."""
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(100)
             for _ in range(2):
@@ -118,6 +121,7 @@
         assert_within_slots(hall)
 
     def test_lying_reports_and_timeouts_and_callers_that_leave(self, hall):
+        """Targets report a load of 0, close connections after a run, and stall answers."""
         control_all(hall, report_load=0.0)
         path = f"{READ}?work_s=0.5"
         with Flood(hall, ["a1-e1", "a1-e2"], path=path) as flood:
@@ -127,7 +131,7 @@
         assert_within_slots(hall)
 
     def test_target_that_goes_on_with_what_was_cancelled(self, hall):
-        """A slot rests until the deadline when its caller left before the answer."""
+        """A slot stays unused until the deadline if its caller disconnected before the answer."""
         control_all(hall, ignore_cancel=True)
         wait_until(lambda: knows_peer(hall, "a1-e1"), what="peer known")
         wait_for_free_slots(hall, "a1-e1")
@@ -138,11 +142,11 @@
         assert_within_slots(hall)
 
     def test_roster_change_while_a_former_entry_does_not_know(self, hall):
-        """A new entry takes over slots only after the cut-off former home has adopted."""
+        """An entry takes over slots only once their former, cut-off owner has the new revision."""
         configuration = hall.configuration
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(50)
-            # a1-e1 is cut off from its peer and from the platform, and goes on serving.
+            # a1-e1 is cut off from its peer and from the platform, but keeps serving.
             hall.cut("127.0.1.1", "127.0.1.2")
             hall.cut("127.0.1.1", "127.0.0.")
             time.sleep(0.5)
@@ -165,7 +169,7 @@
 
 
 def build_room(*, targets):
-    """Build the room of a hall with one entry and one slot a target."""
+    """Build the admission of a hall with one entry and one slot per target."""
     data = make_configuration(halls={"a1": 1}, targets=targets, slots=1)
     snapshot = Snapshot.from_configuration(
         Configuration.from_data(data), revision=1, hall="a1", blocks=BlockTable()
@@ -183,7 +187,7 @@
 
 
 class FirstBreaksClient:
-    """Targets of which the first one asked breaks off."""
+    """A target client whose first send fails after the request may have run."""
 
     def __init__(self):
         self.asked = []
@@ -199,7 +203,7 @@
 class TestRetry:
     @pytest.mark.parametrize(("free_after_s", "is_served"), [(0.05, True), (0.6, False)])
     def test_a_retry_waits_for_a_slot_as_the_first_attempt_may(self, free_after_s, is_served):
-        """And where none frees in that time, the caller is told that it may have run."""
+        """If no slot is freed in that time, the refusal says that the request may have run."""
         room, client = build_room(targets=2), FirstBreaksClient()
         local = LocalHall(room, client, queue_s=0.3)
         until = time.monotonic() + 60
@@ -217,6 +221,7 @@
 
 
 def make_read(deadline):
+    """Make a repeatable request with a deadline in monotonic seconds."""
     return Request(
         id="d1",
         service="decks",
@@ -235,7 +240,7 @@
 
 class TestLoans:
     def test_slot_of_a_borrower_that_died_comes_back_to_its_home(self):
-        """Also where nobody asks for a loan again."""
+        """The loan expires at the next admission, without another loan request."""
         room = build_room(targets=1)
         assert room.lend(["a1-t1"], "a1-e2", 0.01) is not None
         until = time.monotonic() + 60
@@ -244,10 +249,10 @@
         assert isinstance(room.admit(["a1-t1"], until=until), Success)
 
     def test_a_loan_that_lapsed_is_reported_free_though_nobody_asks(self):
-        """A borrower's message that it gave a slot back was lost, and the slot stayed lent.
+        """A slot stayed lent after the borrower's return message was lost.
 
-        It lapsed at the next request only.  An entry without any reported one slot too few for as
-        long, so that its peers went elsewhere; a test that waited for free slots waited in vain.
+        The loan expired only at the lender's next request.  An idle lender reported one free
+        slot too few until then, so its peers borrowed elsewhere, and a test timed out:
 
             slots free: not within 20.0 s; held: [('b1-e2', 'b1-t2', {'home': 3, 'free': 2,
             'busy': 0, 'lent': 1, 'in_flight': 0, 'leaving': False})]
@@ -260,6 +265,7 @@
 
 
 def knows_peer(fleet, name):
+    """Check whether an entry has received its peer's membership record."""
     return len(fleet.get_json(name, "/v1/status")["members"]) > 1
 
 
