--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -8,7 +8,7 @@
 
 from benchmarks.common import format_table, write_result
 from halldoor.core.targets import load
-from halldoor.core.targets.load import Fade
+from halldoor.core.targets.load import DecayTimes
 from halldoor.standins.patterns import PATTERNS, Pattern
 from halldoor.standins.replay import ModelEntry, Replay, Tally
 
@@ -64,7 +64,7 @@
     for what, pattern in PATTERNS.items():
         for policy, settings in POLICIES.items():
             rows.append(describe(what, policy, play(pattern, settings)))
-        with mock.patch.object(load.Fade, "from_pace", lambda **_: Fade()):
+        with mock.patch.object(load.DecayTimes, "from_pace", lambda **_: DecayTimes()):
             rows.append(describe(what, FADING, play(pattern, {})))
     head = ["pattern", "policy", "in time", "after 6 s", "of ams", "refused", "cold", "far"]
     title = f"Load patterns in virtual time, mean of {len(SEEDS)} seeds"
--- a/halldoor/cli/fleet.py
+++ b/halldoor/cli/fleet.py
@@ -11,7 +11,7 @@
 
 import urllib3
 
-from halldoor.core.targets.choice import TargetOut
+from halldoor.core.targets.choice import ExcludedTarget
 
 TIMEOUT_S = 2.0
 """Longest wait for one gateway, in seconds."""
@@ -58,7 +58,7 @@
     running: int = 0
     blocked: int = 0
     watches_store: bool = False
-    targets_out: tuple[TargetOut, ...] = ()
+    targets_out: tuple[ExcludedTarget, ...] = ()
     over_quota: tuple[tuple[str, int], ...] = ()
     region_requests: tuple[tuple[str, str, int], ...] = ()
     error: str = ""
@@ -133,7 +133,7 @@
 def parse_metrics(address: str, text: str) -> GatewayView:
     """Read a gateway's figures."""
     state: dict[str, float] = {}
-    out: list[TargetOut] = []
+    out: list[ExcludedTarget] = []
     over_quota: list[tuple[str, int]] = []
     region_requests: Counter[tuple[str, str]] = Counter()
     for line in text.splitlines():
@@ -141,7 +141,7 @@
             state[match[1]] = float(match[2])
         elif match := _OUT.match(line):
             labels = dict(_LABEL.findall(match[1]))
-            out.append(TargetOut(labels["target"], labels["service"], labels["reason"]))
+            out.append(ExcludedTarget(labels["target"], labels["service"], labels["reason"]))
         elif match := _OVER_QUOTA.match(line):
             over_quota.append((match[1], int(float(match[2]))))
         elif match := _REGION_REQUESTS.match(line):
--- a/halldoor/core/explaining/history.py
+++ b/halldoor/core/explaining/history.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from halldoor.core.targets.load import Fade
+from halldoor.core.targets.load import DecayTimes
 
 BELIEF_WINDOW_S = 10.0
 """Time before the end of a request in which changes of the entry's state are listed, in seconds."""
@@ -191,7 +191,7 @@
     if age_ms is None:
         return "no load reported"
     others = f", about {attempt['others']} of others" if "others" in attempt else ""
-    if age_ms > attempt.get("load_old_ms", Fade().old_s * 1000):
+    if age_ms > attempt.get("load_old_ms", DecayTimes().stale_after_s * 1000):
         return f"last load report too old to count ({age_ms} ms){others}"
     return f"load {attempt['load']}, {age_ms} ms old{others}"
 
--- a/halldoor/core/targets/budget.py
+++ b/halldoor/core/targets/budget.py
@@ -120,17 +120,19 @@
             sent = self._sent[target] = SlidingCount(self._window_s)
         sent.add(now)
 
-    def take(self, target: str, now: float, *, limit: int, entries: int, rank: int) -> bool:
+    def reserve_request(
+        self, target: str, now: float, *, limit: int, entries: int, rank: int
+    ) -> bool:
         """Count one request to a target; False if this entry may not send to it now.
 
-        The parameters are those of `has_room`.
+        The parameters are those of `has_capacity`.
         """
-        if not self.has_room(target, now, limit=limit, entries=entries, rank=rank):
+        if not self.has_capacity(target, now, limit=limit, entries=entries, rank=rank):
             return False
         self.add(target, now)
         return True
 
-    def has_room(self, target: str, now: float, *, limit: int, entries: int, rank: int) -> bool:
+    def has_capacity(self, target: str, now: float, *, limit: int, entries: int, rank: int) -> bool:
         """Check whether this entry may send a target a request now.
 
         Parameters
--- a/halldoor/core/targets/catalog.py
+++ b/halldoor/core/targets/catalog.py
@@ -27,14 +27,14 @@
 from halldoor.core.targets.contact import Lapse, StoreContact
 from halldoor.core.targets.leaving import LeavingTable
 from halldoor.core.targets.notice import ColdNotice
-from halldoor.core.targets.removals import PostponedRemovals, list_missing
+from halldoor.core.targets.removals import PostponedRemovals, list_removals
 from halldoor.core.targets.route import Routing
 from halldoor.core.targets.sharers import SharerTable
 from halldoor.core.targets.target import Target
 from halldoor.core.targets.timings import CatalogTimings
-from halldoor.core.targets.withdrawal import HOLDS_MOST, StoreView, WithdrawalTable
+from halldoor.core.targets.withdrawal import NOTICES_MAX, StoreView, WithdrawalTable
 
-LEFT_KEPT = 2000
+REMOVED_KEPT = 2000
 """Removed targets that are remembered, in case an older copy of the store names them again."""
 
 
@@ -76,32 +76,32 @@
         self.members: dict[str, MemberRecord] = {}
         self.sharers = SharerTable()
         self._suspects: set[str] = set()
-        self._left: OrderedDict[str, int] = OrderedDict()
+        self._removed_starts: OrderedDict[str, int] = OrderedDict()
         self._leaving = LeavingTable()
         self._withdrawals = WithdrawalTable()
         self._newly_withdrawn: list[TargetStart] = []
         self._postponed = PostponedRemovals()
         self.version = 0
         self.members_version = 0
-        self.fresh_at = 0.0
+        self.store_contact_at = 0.0
         self.relayed_at = -math.inf
 
     def apply(self, change: Change, now: float) -> bool:
         """Apply one change; return whether it changed anything."""
-        self._postponed.drop_for(change)
+        self._postponed.cancel_for(change)
         match change:
             case RoutingSeen(routing):
-                return self._adopt(routing)
+                return self._apply_routing(routing)
             case TargetSeen(record):
-                return self._see_target(record, now)
+                return self._apply_target(record, now)
             case TargetGone(incarnation):
-                return self._lose_target(incarnation, now)
+                return self._remove_target(incarnation, now)
             case EvacuationSet(hall, is_evacuated):
                 return self._set_evacuation(hall, is_evacuated, now)
             case MemberSeen(member):
-                return self._see_member(member)
+                return self._apply_member(member)
             case MemberGone(name):
-                return self._lose_member(name, now)
+                return self._remove_member(name, now)
             case EvidenceSeen(record):
                 self._suspects.add(record.digest)
                 return True
@@ -109,7 +109,7 @@
                 self._suspects.discard(digest)
                 return True
 
-    def load(
+    def apply_full_read(
         self, changes: Sequence[Change], now: float, *, is_restored: bool = False
     ) -> list[Change]:
         """Apply a full read of the store and remove everything that it doesn't contain.
@@ -127,8 +127,8 @@
             The changes that had an effect, removals included.
         """
         if is_restored:
-            changes = [c for c in changes if not self._has_left(c)]
-        removals = list_missing(
+            changes = [c for c in changes if not self._was_removed(c)]
+        removals = list_removals(
             changes,
             targets=self._targets,
             members=self.members,
@@ -140,58 +140,58 @@
             removals = self._postponed.add(removals, due_at=now + self.timings.settle_s)
         return [c for c in [*changes, *removals] if self.apply(c, now)]
 
-    def _has_left(self, change: Change) -> bool:
+    def _was_removed(self, change: Change) -> bool:
         """Check whether a record is of a start of a target that was removed before."""
         if not isinstance(change, TargetSeen):
             return False
         record = change.record
-        return self._left.get(record.incarnation) == record.started_ms
+        return self._removed_starts.get(record.incarnation) == record.started_ms
 
     def apply_postponed(self, now: float) -> list[Change]:
         """Apply the postponed removals that are due, except of records that were written again."""
-        return [change for change in self._postponed.take_due(now) if self.apply(change, now)]
+        return [change for change in self._postponed.pop_due(now) if self.apply(change, now)]
 
     @property
     def configuration_version(self) -> int:
         """Version of the configuration in force; 0 if there is none."""
         return self.routing.version if self.routing is not None else 0
 
-    def note_contact(self, heard_at: float) -> None:
+    def record_contact(self, answered_at: float) -> None:
         """Record a contact with the store, direct or through another entry."""
-        self.fresh_at = max(self.fresh_at, heard_at)
+        self.store_contact_at = max(self.store_contact_at, answered_at)
 
-    def note_relay(self, now: float) -> None:
+    def record_relay(self, now: float) -> None:
         """Record that an entry in contact with the store passed on changes."""
         self.relayed_at = now
 
     @property
-    def informed_at(self) -> float:
+    def last_update_at(self) -> float:
         """Time of the last answer or change, from the store itself or from another entry."""
-        return max(self.fresh_at, self.relayed_at)
+        return max(self.store_contact_at, self.relayed_at)
 
-    def note_answer(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Record that the store answered a call of this entry."""
-        self.note_contact(now)
-        self.contact.note_answer(now)
+        self.record_contact(now)
+        self.contact.record_answer(now)
 
     def _find_lapse(self, now: float) -> Lapse | None:
         """Return how long to keep a target whose record an outage let expire; None to drop it."""
-        absence, settle_s = self.contact.find_absence(now), self.timings.settle_s
+        outage, settle_s = self.contact.find_outage(now), self.timings.settle_s
         if now <= self._restored_at:
-            return Lapse(now + settle_s, absence.length_s)
-        lapse = Lapse(absence.ended_at + settle_s, absence.length_s)
+            return Lapse(now + settle_s, outage.length_s)
+        lapse = Lapse(outage.ended_at + settle_s, outage.length_s)
         return lapse if lapse.away_s >= self.timings.lapse_s and now < lapse.until else None
 
     def drop_lapsed(self, now: float) -> list[str]:
         """Drop the targets whose expired record was not written again in time; return them."""
         dropped = [name for name, lapse in self.lapsed.items() if now >= lapse.until]
         for name in dropped:
-            self._forget(name)
+            self._drop(name)
         if dropped:
-            self._touch()
+            self._mark_changed()
         return dropped
 
-    def take_restart(self, incarnation: str) -> bool:
+    def pop_restart(self, incarnation: str) -> bool:
         """Check, once per start, whether a known target started again: its old data is void."""
         if incarnation not in self._restarted:
             return False
@@ -205,14 +205,14 @@
     def drop_target(self, incarnation: str) -> None:
         """Drop a target whose address answered for another incarnation."""
         if incarnation in self._targets:
-            self._forget(incarnation)
-            self._touch()
+            self._drop(incarnation)
+            self._mark_changed()
 
-    def _forget(self, incarnation: str) -> None:
+    def _drop(self, incarnation: str) -> None:
         """Drop a target, and remember its start as removed."""
-        self._left[incarnation] = self._targets.pop(incarnation).record.started_ms
-        if len(self._left) > LEFT_KEPT:
-            self._left.popitem(last=False)
+        self._removed_starts[incarnation] = self._targets.pop(incarnation).record.started_ms
+        if len(self._removed_starts) > REMOVED_KEPT:
+            self._removed_starts.popitem(last=False)
         self.lapsed.pop(incarnation, None)
 
     def list_targets(self) -> Collection[Target]:
@@ -237,12 +237,12 @@
         """Return the number of entries to divide a rate by."""
         return self.sharers.count(now, young_s=self.timings.young_s)
 
-    def _touch(self) -> None:
+    def _mark_changed(self) -> None:
         """Increment the version and drop the cached lists, after a change that affects choices."""
         self.version += 1
         self._by_service = None
 
-    def _adopt(self, routing: Routing) -> bool:
+    def _apply_routing(self, routing: Routing) -> bool:
         """Apply a configuration unless it is older than the known one, or equal to it.
 
         A different one of the same version is applied: a restored store may have lost the other.
@@ -251,10 +251,10 @@
         if known is not None and (routing.version < known.version or routing == known):
             return False
         self.routing = routing
-        self._touch()
+        self._mark_changed()
         return True
 
-    def _see_target(self, record: TargetRecord, now: float) -> bool:
+    def _apply_target(self, record: TargetRecord, now: float) -> bool:
         """Apply a target's record; return whether it changed anything."""
         cold_until = now + record.cold_left_s if record.cold_left_s > 0 else -math.inf
         target = self._targets.get(record.incarnation)
@@ -267,7 +267,7 @@
             target = self._targets[record.incarnation] = Target(record, cold_until)
             target.says_leaving = self._leaving.has(target.name, record.started_ms)
             target.is_withdrawn = self._withdrawals.has(target.start)
-            self._touch()
+            self._mark_changed()
             return True
         self.lapsed.pop(target.name, None)
         is_changed = record._replace(cold_left_s=0.0) != target.record._replace(cold_left_s=0.0)
@@ -281,7 +281,7 @@
         target.record = record._replace(is_draining=is_draining)
         is_cold = target.is_cold(now)
         if is_changed or (is_cold and not was_cold):
-            self._touch()
+            self._mark_changed()
         return is_changed or is_cold != was_cold
 
     def apply_cold_notice(self, notice: ColdNotice, now: float) -> bool:
@@ -298,7 +298,7 @@
         was_cold = target.is_cold(now)
         target.cold_until = max(target.cold_until, now + notice.cold_left_s)
         if not was_cold:
-            self._touch()
+            self._mark_changed()
         return not was_cold
 
     def add_leaving(self, incarnation: str, started_ms: int, *, until: float = math.inf) -> bool:
@@ -308,7 +308,7 @@
         if target is None or target.record.started_ms != started_ms or target.says_leaving:
             return False
         target.says_leaving = True
-        self._touch()
+        self._mark_changed()
         return True
 
     def expire_leaving(self, now: float) -> list[str]:
@@ -316,10 +316,10 @@
         expired = self._leaving.expire(now)
         for target in filter(None, map(self._targets.get, expired)):
             target.says_leaving = self._leaving.has(target.name, target.record.started_ms)
-            self._touch()
+            self._mark_changed()
         return expired
 
-    def take_withdrawn(self) -> list[TargetStart]:
+    def pop_withdrawn(self) -> list[TargetStart]:
         """Return, once, the targets withdrawn by the store's records and by no earlier notice."""
         withdrawn, self._newly_withdrawn = self._newly_withdrawn, []
         return withdrawn
@@ -335,17 +335,17 @@
         target = self._targets.get(start.target)
         if target is None or target.start != start:
             # The target's record may arrive later than the notice.
-            if len(self._withdrawals) < HOLDS_MOST:
+            if len(self._withdrawals) < NOTICES_MAX:
                 self._withdrawals.add(start, view, until=until)
             return False
         if target.is_draining:
             return False
         self._withdrawals.add(start, view, until=until)
         target.is_withdrawn = True
-        self._touch()
+        self._mark_changed()
         return True
 
-    def release_withdrawn(self, own: StoreView, now: float) -> list[TargetStart]:
+    def release_reached_withdrawals(self, own: StoreView, now: float) -> list[TargetStart]:
         """Drop the notices that expired, or whose revision this entry's view has reached.
 
         From then on the view of this entry decides on those targets.
@@ -363,7 +363,7 @@
             target.is_withdrawn = self._withdrawals.has(target.start)
             if not target.is_draining:
                 usable.append(start)
-                self._touch()
+                self._mark_changed()
         return usable
 
     def count_withdrawals(self) -> int:
@@ -377,7 +377,7 @@
             return False
         return target.record.hall not in self.evacuated
 
-    def _lose_target(self, incarnation: str, now: float) -> bool:
+    def _remove_target(self, incarnation: str, now: float) -> bool:
         """Apply the removal of a target's record; return whether it changed anything."""
         target = self._targets.get(incarnation)
         if target is None:
@@ -389,10 +389,10 @@
         if lapse is not None:
             self.lapsed[incarnation] = lapse
             return True
-        if not target.is_draining and self.contact.can_tell_removals(now):
+        if not target.is_draining and self.contact.can_distinguish_removals(now):
             self._newly_withdrawn.append(target.start)
-        self._forget(incarnation)
-        self._touch()
+        self._drop(incarnation)
+        self._mark_changed()
         return True
 
     def _set_evacuation(self, hall: str, is_evacuated: bool, now: float) -> bool:
@@ -404,7 +404,7 @@
         else:
             self.evacuated.discard(hall)
             self._assume_cold(hall, now)
-        self._touch()
+        self._mark_changed()
         return True
 
     def _assume_cold(self, hall: str, now: float) -> None:
@@ -420,7 +420,7 @@
             cold_s = service.cold_start_s if service is not None else 0.0
             target.cold_until = max(target.cold_until, now + cold_s)
 
-    def _see_member(self, member: MemberRecord) -> bool:
+    def _apply_member(self, member: MemberRecord) -> bool:
         """Apply an entry's record; return whether it changed anything."""
         if self.members.get(member.name) == member:
             return False
@@ -429,7 +429,7 @@
         self.members_version += 1
         return True
 
-    def _lose_member(self, name: str, now: float) -> bool:
+    def _remove_member(self, name: str, now: float) -> bool:
         """Apply the removal of an entry's record; return whether the entry was known."""
         if self.members.pop(name, None) is None:
             return False
--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -22,7 +22,7 @@
 from halldoor.core.targets.order import KeyOrders, OrderSettings
 from halldoor.core.targets.outlier import OutlierTable
 from halldoor.core.targets.rates import EntryRanks, TargetRates
-from halldoor.core.targets.rests import RestTable
+from halldoor.core.targets.rests import BackoffTable
 from halldoor.core.targets.route import Route
 from halldoor.core.targets.settings import ChoiceSettings
 from halldoor.core.targets.target import Target
@@ -73,7 +73,7 @@
     place: int
 
 
-class TargetOut(NamedTuple):
+class ExcludedTarget(NamedTuple):
     """A target that gets no requests, or fewer than its share, and the reason."""
 
     target: str
@@ -132,14 +132,14 @@
         self.settings = settings
         self._ranks = EntryRanks(catalog, own_name)
         self.limits = LimitTable(own_name)
-        self.rests = RestTable()
+        self.backoffs = BackoffTable()
         self.in_flight: Counter[str] = Counter()
-        self._rates = TargetRates(catalog, self._ranks, self.limits, self.rests, self.in_flight)
+        self._rates = TargetRates(catalog, self._ranks, self.limits, self.backoffs, self.in_flight)
         self._chosen_at: dict[str, float] = {}
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Record the start of this entry, from which its shares of bounded rates are counted."""
-        self._rates.begin(now)
+        self._rates.start(now)
 
     def choose(
         self, route: Route, service: str, key: str, now: float, *, tried: Collection[str] = ()
@@ -154,55 +154,57 @@
         settings = self.settings
         key = key if settings.uses_keys else ""
         fill = settings.region_shares.find_fill(route, self._find_far_travel())
-        placing = OrderSettings(fill, settings.most_local, settings.max_shift)
-        order = self.orders.get_order(route, service, key, now, settings=placing)
+        order_settings = OrderSettings(fill, settings.most_local, settings.max_shift)
+        order = self.orders.get_order(route, service, key, now, settings=order_settings)
         if not order:
             return NoTarget("no target", {})
         passed: Counter[str] = Counter()
-        candidates = self._number(order[0], self._iter_candidates(order, now, tried, passed), tried)
+        candidates = self._number_positions(
+            order[0], self._iterate_candidates(order, now, tried, passed), tried
+        )
         levels = self._costs.get_levels(name_kind(service, route))
-        self._loads.adapt(service, targets=len(order), work_s=levels.mean_s)
+        self._loads.update_decay(service, targets=len(order), work_s=levels.mean_s)
         own = islice(candidates, settings.spill_choices if key else None)
-        weighed = [self._weigh(target, key, levels, place, now) for place, target in own]
+        estimated = [self._estimate(target, key, levels, place, now) for place, target in own]
         choices = []
-        for choice in weighed:
-            reason = self._find_reason_against(choice, key, route, levels)
+        for choice in estimated:
+            reason = self._find_refusal_reason(choice, key, route, levels)
             if reason:
                 passed[reason] += 1
             else:
                 choices.append(choice)
-        if key and weighed:
-            first_s = self._latency.get_travel(weighed[0].target.record.hall)
+        if key and estimated:
+            first_s = self._latency.get_travel(estimated[0].target.record.hall)
             choices.sort(key=lambda c: c.estimate.find_cost(least_travel_s=first_s))
         else:
             choices.sort(key=lambda c: c.estimate.cost_s)
         for choice in choices:
-            if self._take(choice.target, now):
+            if self._reserve_request(choice.target, now):
                 return choice
             passed["rate"] += 1
         for place, target in candidates:
-            if self._is_spare(target, now) and self._take(target, now):
-                return self._weigh(target, key, levels, place, now)
-        rest_s = self.find_rest(order, now)
+            if self._is_spare(target, now) and self._reserve_request(target, now):
+                return self._estimate(target, key, levels, place, now)
+        rest_s = self.find_backoff(order, now)
         if rest_s > 0:
             return NoTarget("all rest", passed, rest_s, is_asked=True)
-        waits = [choice.estimate.wait_s for choice in weighed]
+        waits = [choice.estimate.wait_s for choice in estimated]
         waits = waits or [self._rates.find_wait(target, now) for target in order]
         return NoTarget("no room", passed, min((w for w in waits if w > 0), default=0.0))
 
-    def find_rest(self, targets: Sequence[Target], now: float) -> float:
+    def find_backoff(self, targets: Sequence[Target], now: float) -> float:
         """Return the time until the first of some targets accepts requests again, in seconds.
 
         It is 0 where one of them has no back-off in force.
         """
-        return min((self.rests.find_wait(target.start, now) for target in targets), default=0.0)
+        return min((self.backoffs.find_wait(target.start, now) for target in targets), default=0.0)
 
     def _find_far_travel(self) -> float | None:
         """Return the shortest round trip to another region, in seconds; None if unknown."""
         halls = [h for h in self._latency.list_measured_halls() if self.orders.is_far(h)]
         return min(map(self._latency.get_shortest_travel, halls), default=None)
 
-    def _weigh(
+    def _estimate(
         self, target: Target, key: str, levels: WorkLevels, place: int, now: float
     ) -> Choice:
         """Estimate a target's cost for a request."""
@@ -210,18 +212,18 @@
             target,
             key,
             levels,
-            on_target=self._count(target, now),
+            on_target=self._estimate_in_flight(target, now),
             place=place,
             now=now,
         )
         return Choice(target, estimate, place)
 
-    def _find_reason_against(
+    def _find_refusal_reason(
         self, choice: Choice, key: str, route: Route, levels: WorkLevels
     ) -> str:
         """Return why a target can't take a request now; empty if it can."""
         target, estimate, place = choice
-        if not self._has_room(target, estimate.on_target):
+        if not self._has_free_slot(target, estimate.on_target):
             return "full"
         if key and place and estimate.wait_s > 0:
             # A request that waits there would delay the requests of the target's own keys.
@@ -235,15 +237,15 @@
     def _is_spare(self, target: Target, now: float) -> bool:
         """Check whether a target beyond the key's own ones is mostly idle and may help out."""
         limit = self.settings.spare_load
-        count = self._count(target, now)
-        is_idle = count < limit * target.record.slots and self._has_room(target, count)
+        count = self._estimate_in_flight(target, now)
+        is_idle = count < limit * target.record.slots and self._has_free_slot(target, count)
         # A target that has not reported its load yet may be as busy as the others.
-        is_known = self._loads.has_report(target.name)
-        return is_idle and is_known and self._loads.get_pressure(target.name) < limit
+        has_report = self._loads.has_report(target.name)
+        return is_idle and has_report and self._loads.get_pressure(target.name) < limit
 
-    def _take(self, target: Target, now: float) -> bool:
+    def _reserve_request(self, target: Target, now: float) -> bool:
         """Use one request of this entry's share of a target's rate; False if none is left."""
-        if not self._rates.take(target, now, self.settings):
+        if not self._rates.reserve_request(target, now, self.settings):
             return False
         self._chosen_at[target.name] = now
         return True
@@ -252,20 +254,20 @@
         """List the targets that were chosen in the last `IN_USE_S` seconds."""
         return [name for name, at in self._chosen_at.items() if now - at <= IN_USE_S]
 
-    def _count(self, target: Target, now: float) -> float:
+    def _estimate_in_flight(self, target: Target, now: float) -> float:
         """Estimate the requests on a target from all entries."""
         return self.in_flight[target.name] + self._loads.estimate_others(target.name, now)
 
-    def list_out(self, now: float) -> list[TargetOut]:
+    def list_excluded(self, now: float) -> list[ExcludedTarget]:
         """List the targets that get no requests, or fewer than their share, for operators."""
         found = []
         for target in self._catalog.list_targets():
-            reason = self._find_reason_out(target, now)
+            reason = self._find_exclusion_reason(target, now)
             if reason:
-                found.append(TargetOut(target.name, target.record.service, reason))
+                found.append(ExcludedTarget(target.name, target.record.service, reason))
         return found
 
-    def _find_reason_out(self, target: Target, now: float) -> str:
+    def _find_exclusion_reason(self, target: Target, now: float) -> str:
         """Return why a target gets less than its share of requests; empty if it gets its share."""
         if target.is_draining:
             return "draining"
@@ -275,12 +277,12 @@
             return "record lapsed"
         if self._outliers.is_ejected(target.name, now):
             return "ejected"
-        if self.rests.find_wait(target.start, now) > 0:
+        if self.backoffs.find_wait(target.start, now) > 0:
             return "asked for rest"
         return "cold" if target.is_cold(now) else ""
 
     @contextmanager
-    def count(self, target: str) -> Iterator[None]:
+    def count_in_flight(self, target: str) -> Iterator[None]:
         """Count a request as in flight on a target while the context is open."""
         self.in_flight[target] += 1
         try:
@@ -295,7 +297,7 @@
         self._rates.forget(target)
         self._chosen_at.pop(target, None)
 
-    def _iter_candidates(
+    def _iterate_candidates(
         self, order: Sequence[Target], now: float, tried: Collection[str], passed: Counter[str]
     ) -> Iterator[Target]:
         """Yield the targets that may be tried, in order; unhealthy ones only if there is no other.
@@ -303,38 +305,38 @@
         Most choices use one of the first two, and the others are not evaluated: the cost of a
         choice for a key whose order is cached does not grow with the number of targets.
         """
-        doubtful = self._list_doubtful(now)
+        unhealthy = self._list_unhealthy(now)
         is_widespread = False
-        if doubtful:
+        if unhealthy:
             # If most targets look broken, the measurement is more likely wrong than the targets.
-            count = sum(target.name in doubtful for target in order)
+            count = sum(target.name in unhealthy for target in order)
             is_widespread = count > self.settings.ejected_share * len(order)
-        out = {*doubtful, *self.rests.list_resting(now)} if self.rests else doubtful
-        if not is_widespread and self.settings.region_fill > 0 and order[0].name in out:
-            order = self.orders.replace_first(order, out)
-        put_off: list[Target] = []
-        has_sound = False
+        excluded = {*unhealthy, *self.backoffs.list_backed_off(now)} if self.backoffs else unhealthy
+        if not is_widespread and self.settings.region_fill > 0 and order[0].name in excluded:
+            order = self.orders.substitute_first(order, excluded)
+        postponed: list[Target] = []
+        has_healthy = False
         for target in order:
             if target.name in tried:
                 passed["tried"] += 1
-            elif target.name in doubtful:
-                passed[doubtful[target.name]] += 1
+            elif target.name in unhealthy:
+                passed[unhealthy[target.name]] += 1
                 if is_widespread:
                     yield target
                 else:
-                    put_off.append(target)
-            elif reason := self._rates.find_reason_against(target, now, self.settings):
+                    postponed.append(target)
+            elif reason := self._rates.find_refusal_reason(target, now, self.settings):
                 # Such a target must not use up one of the key's positions: the targets that served
                 # the key before this one came back are next, and warm.  Counting it would refuse
                 # requests that they could serve.
                 passed[reason] += 1
             else:
-                has_sound = True
+                has_healthy = True
                 yield target
-        if not has_sound and not is_widespread:
-            yield from put_off
+        if not has_healthy and not is_widespread:
+            yield from postponed
 
-    def _number(
+    def _number_positions(
         self, first: Target, candidates: Iterator[Target], tried: Collection[str]
     ) -> Iterator[tuple[int, Target]]:
         """Yield candidates with their positions, from 0.
@@ -350,33 +352,33 @@
             yield place, target
             place += 1
 
-    def _list_doubtful(self, now: float) -> Mapping[str, str]:
+    def _list_unhealthy(self, now: float) -> Mapping[str, str]:
         """Return the targets that are avoided for now, with the reason."""
-        doubtful = dict.fromkeys(self._catalog.lapsed, "lapsed")
-        doubtful.update(dict.fromkeys(self._outliers.list_ejected(now), "ejected"))
-        return doubtful
+        unhealthy = dict.fromkeys(self._catalog.lapsed, "lapsed")
+        unhealthy.update(dict.fromkeys(self._outliers.list_ejected(now), "ejected"))
+        return unhealthy
 
-    def _has_room(self, target: Target, count: float) -> bool:
+    def _has_free_slot(self, target: Target, count: float) -> bool:
         """Check whether a target has a free slot, by this entry's counts and its reports."""
         own = self.in_flight[target.name]
         if own and self._outliers.is_on_trial(target.name):
             return False
         if not self._loads.has_report(target.name):
-            return own < self._bound(target)
+            return own < self._find_in_flight_limit(target)
         return count < self.settings.full_load * target.record.slots
 
-    def _bound(self, target: Target) -> int:
+    def _find_in_flight_limit(self, target: Target) -> int:
         """Return the requests that this entry may have on a target that never reported its load.
 
         The shares of all entries add up to the target's limit, unless it is below one per entry.
         """
         total = round(self.settings.load_factor * target.record.slots)
-        whole, rest = divmod(total, self._catalog.count_members())
+        whole, remainder = divmod(total, self._catalog.count_members())
         if not whole:
             # At least one, whatever the rank: ranking this entry in a large fleet for each target
             # that has not reported would take half of its processor time at the fleet's start.
             return 1
-        return max(1, whole + (1 if self._ranks.get_rank(target.name) < rest else 0))
+        return max(1, whole + (1 if self._ranks.get_rank(target.name) < remainder else 0))
 
 
 def name_kind(service: str, route: Route) -> str:
--- a/halldoor/core/targets/contact.py
+++ b/halldoor/core/targets/contact.py
@@ -10,19 +10,19 @@
 import math
 from typing import NamedTuple
 
-STALL_S = 1.0
+SUSPENSION_S = 1.0
 """Time between two ticks from which the process counts as suspended meanwhile, in seconds."""
 SILENCE_S = 2.0
 """Time without any answer from which the store counts as unavailable, in seconds: several calls
 have failed by then."""
-STEADY_S = 1.5
+STABLE_CONTACT_S = 1.5
 """Time in which every live target writes its record once, in seconds.  Two outages with a shorter
 time between them count as one."""
-LIFE_S = 4.5
+RECORD_LIFETIME_S = 4.5
 """Time after its last write in which a record expires, in seconds."""
 
 
-class Absence(NamedTuple):
+class Outage(NamedTuple):
     """An outage: a time in which the store didn't answer, in seconds of the steady clock.
 
     Attributes
@@ -82,100 +82,100 @@
 
     Attributes
     ----------
-    absence : Absence or None
+    outage : Outage or None
         The store's last outage.
     """
 
     def __init__(self) -> None:
-        self.absence: Absence | None = None
-        self._known_until = 0.0
+        self.outage: Outage | None = None
+        self._applied_until = 0.0
         self._ticked_at: float | None = None
-        self._stood_until = -math.inf
+        self._suspended_until = -math.inf
         self._silent_from: float | None = None
-        self._heard_at = 0.0
+        self._answered_at = 0.0
         self._since: float | None = None
 
-    def tick(self, now: float) -> None:
+    def record_tick(self, now: float) -> None:
         """Record that this process runs, to detect times in which it was suspended.
 
         While it is suspended it makes no calls and gets no answers, so that time is no outage.
         """
-        stood_s = now - self._ticked_at if self._ticked_at is not None else 0.0
+        suspended_s = now - self._ticked_at if self._ticked_at is not None else 0.0
         self._ticked_at = now
-        if stood_s > STALL_S and self._silent_from is not None:
-            self._silent_from = min(now, self._silent_from + stood_s)
+        if suspended_s > SUSPENSION_S and self._silent_from is not None:
+            self._silent_from = min(now, self._silent_from + suspended_s)
             self._since = None
-            self._stood_until = now
+            self._suspended_until = now
 
-    def note_answer(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Record that the store answered a call of this entry."""
-        self.note_span(ContactSpan(now, now), now)
+        self.record_span(ContactSpan(now, now), now)
 
-    def note_span(self, span: ContactSpan, now: float) -> None:
+    def record_span(self, span: ContactSpan, now: float) -> None:
         """Record a time in which the store answered this entry, or an entry that reported it."""
-        self.tick(now)
+        self.record_tick(now)
         if span.since > span.until:
             return
         if self._silent_from is None:
             self._silent_from = span.since
         if span.until >= self._silent_from:
-            self._end_silence(self._silent_from, max(span.since, self._silent_from))
-            self._silent_from = self._heard_at = span.until
-        self._shorten_absence(span)
+            self._record_outage(self._silent_from, max(span.since, self._silent_from))
+            self._silent_from = self._answered_at = span.until
+        self._shorten_outage(span)
         if self._since is None or span.since < self._since <= span.until:
             self._since = span.since
 
-    def _end_silence(self, began_at: float, ended_at: float) -> None:
+    def _record_outage(self, began_at: float, ended_at: float) -> None:
         """Record a time without answers as an outage, if it is long enough."""
         if ended_at - began_at < SILENCE_S:
             return
-        before = self.absence
-        if before is not None and began_at - before.ended_at < STEADY_S:
-            began_at = before.began_at
-        self.absence = Absence(began_at, ended_at)
+        previous = self.outage
+        if previous is not None and began_at - previous.ended_at < STABLE_CONTACT_S:
+            began_at = previous.began_at
+        self.outage = Outage(began_at, ended_at)
         self._since = ended_at
 
-    def _shorten_absence(self, span: ContactSpan) -> None:
+    def _shorten_outage(self, span: ContactSpan) -> None:
         """Move the end of the last outage back if another entry was in contact before."""
-        absence = self.absence
-        if absence is None or span.until < absence.ended_at - SILENCE_S:
+        outage = self.outage
+        if outage is None or span.until < outage.ended_at - SILENCE_S:
             return
-        self.absence = absence._replace(
-            ended_at=max(absence.began_at, min(span.since, absence.ended_at))
+        self.outage = outage._replace(
+            ended_at=max(outage.began_at, min(span.since, outage.ended_at))
         )
 
-    def note_known(self, until: float) -> None:
+    def record_applied_until(self, until: float) -> None:
         """Record the time up to which every change has been applied."""
-        self._known_until = max(self._known_until, until)
+        self._applied_until = max(self._applied_until, until)
 
-    def find_absence(self, now: float) -> Absence:
+    def find_outage(self, now: float) -> Outage:
         """Return the outage in which a removal applied now may have happened; empty if in none.
 
         Another entry's changes may arrive before its report of when the store answered.
         """
         silent_from = self._silent_from if self._silent_from is not None else now
-        began_at = max(silent_from, self._known_until)
+        began_at = max(silent_from, self._applied_until)
         if now - began_at >= SILENCE_S:
-            return Absence(began_at, now)
-        if self.absence is None or self.absence.ended_at <= self._known_until:
-            return Absence(self._known_until, self._known_until)
-        return self.absence
+            return Outage(began_at, now)
+        if self.outage is None or self.outage.ended_at <= self._applied_until:
+            return Outage(self._applied_until, self._applied_until)
+        return self.outage
 
-    def can_tell_removals(self, now: float) -> bool:
+    def can_distinguish_removals(self, now: float) -> bool:
         """Check whether this entry can distinguish a removed record from an expired one.
 
         While the process was suspended, the store may have been unavailable for any time.
         """
-        return now - self._stood_until >= LIFE_S
+        return now - self._suspended_until >= RECORD_LIFETIME_S
 
     def get_report(self, now: float) -> ContactReport | None:
         """Return the report for other entries; None if the store never answered."""
         if self._since is None:
             return None
-        return ContactReport(now - self._since, now - self._heard_at)
+        return ContactReport(now - self._since, now - self._answered_at)
 
 
-def date_report(
+def compute_contact_span(
     report: ContactReport, *, sent_at: float, held_s: float, received_at: float
 ) -> ContactSpan:
     """Return the time span for which an entry's report proves contact with the store.
--- a/halldoor/core/targets/cost.py
+++ b/halldoor/core/targets/cost.py
@@ -7,7 +7,7 @@
 from halldoor.core.targets.latency import LatencyModel, WorkLevels
 from halldoor.core.targets.target import Target
 
-EVENNESS = 0.25
+EVENNESS_WEIGHT = 0.25
 """Weight of a target's load in the cost of requests without a key, in multiples of their work.
 
 Of several targets that have a free slot, the one with the lower load is chosen.
@@ -98,13 +98,13 @@
         """
         slots = max(1, target.record.slots)
         wait_s = max(0.0, on_target - slots + 1) * levels.mean_s / slots
-        work_s = self._expect_work(target, key, levels, place, now)
-        evenness_s = 0.0 if key else EVENNESS * min(1.0, on_target / slots) * levels.mean_s
+        work_s = self._estimate_work(target, key, levels, place, now)
+        evenness_s = 0.0 if key else EVENNESS_WEIGHT * min(1.0, on_target / slots) * levels.mean_s
         return Estimate(
             on_target, self._latency.get_travel(target.record.hall), wait_s, work_s, evenness_s
         )
 
-    def _expect_work(
+    def _estimate_work(
         self, target: Target, key: str, levels: WorkLevels, place: int, now: float
     ) -> float:
         """Return the expected work time, in seconds.
@@ -115,7 +115,7 @@
             return JUST_STARTED_FACTOR * levels.cold_s
         if not key:
             return levels.mean_s
-        is_warm = place == 0 or self._latency.has_sent(target.name, key)
+        is_warm = place == 0 or self._latency.has_answered(target.name, key)
         if is_warm:
             return levels.warm_s
         assumed_s = ASSUMED_COLD_FACTOR * levels.warm_s if levels.is_known else 0.0
--- a/halldoor/core/targets/latency.py
+++ b/halldoor/core/targets/latency.py
@@ -13,7 +13,7 @@
 SAMPLES = 48
 """Answers from which the work levels of a kind of request are computed: so many to known keys, and
 so many to new ones."""
-RENEWAL_SAMPLES = 8
+LEVELS_EVERY = 8
 """Answers between two computations of the levels, once `SAMPLES` of them are there."""
 WARM_QUANTILE = 0.25
 """Quantile of the work for known keys that is taken as warm: some keys are cold again."""
@@ -25,7 +25,7 @@
 """Weight of a connect time longer than the known one; a shorter one replaces it at once."""
 WORK_PRIOR_S = 0.1
 """Work assumed for a kind of request before its first answer, in seconds."""
-PAIRS_KEPT = 20_000
+KEY_PAIRS_KEPT = 20_000
 """Pairs of target and key that are remembered; about 3 MB."""
 
 
@@ -67,7 +67,7 @@
         mean_s += MEAN_WEIGHT * (work_s - mean_s)
         self.levels = self.levels._replace(mean_s=mean_s)
         self._count += 1
-        if self._count <= SAMPLES or self._count % RENEWAL_SAMPLES == 0:
+        if self._count <= SAMPLES or self._count % LEVELS_EVERY == 0:
             self._compute_levels()
 
     def _compute_levels(self) -> None:
@@ -124,14 +124,14 @@
             The target was full when it was chosen, so that the time includes a wait and is not
             used as a work time.
         """
-        is_known = self.has_sent(target, key)
+        is_known = self.has_answered(target, key)
         if not has_waited:
             work_s = max(0.0, took_s - self.get_travel(hall))
             self._samples.setdefault(kind, _Samples()).add(work_s, is_known_key=is_known)
         if key:
             self._pairs[(target, key)] = None
             self._pairs.move_to_end((target, key))
-            if len(self._pairs) > PAIRS_KEPT:
+            if len(self._pairs) > KEY_PAIRS_KEPT:
                 self._pairs.popitem(last=False)
 
     def forget(self, target: str) -> None:
@@ -139,7 +139,7 @@
         for pair in [pair for pair in self._pairs if pair[0] == target]:
             del self._pairs[pair]
 
-    def has_sent(self, target: str, key: str) -> bool:
+    def has_answered(self, target: str, key: str) -> bool:
         """Check whether this entry recorded an answer of a target to a key."""
         return (target, key) in self._pairs
 
--- a/halldoor/core/targets/leaving.py
+++ b/halldoor/core/targets/leaving.py
@@ -11,10 +11,10 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-HEARSAY_S = 30.0
+LEAVING_NOTICE_S = 30.0
 """Time for which another entry's notice is believed, in seconds.  After it, a request of this entry
 shows whether the target leaves, so that a target named by mistake is used again."""
-KEPT = 2000
+STARTS_KEPT = 2000
 """Starts of targets that are remembered, in case their record is removed and written again."""
 
 
@@ -58,11 +58,11 @@
             Time at which the statement expires; by default it never does.
         """
         start = (target, started_ms)
-        is_news = start not in self._until
+        is_new = start not in self._until
         self._until[start] = max(until, self._until.get(start, until))
-        if len(self._until) > KEPT:
+        if len(self._until) > STARTS_KEPT:
             self._until.popitem(last=False)
-        return is_news
+        return is_new
 
     def has(self, target: str, started_ms: int) -> bool:
         """Check whether a start of a target is leaving."""
--- a/halldoor/core/targets/limits.py
+++ b/halldoor/core/targets/limits.py
@@ -13,16 +13,16 @@
 from halldoor.core.placement import to_unit
 from halldoor.core.targets.statement import SEPARATOR
 
-RETURN_S = 1.0
+RAMP_STEP_S = 1.0
 """Time in which a target's allowed rate doubles after its limit ended, in seconds."""
-RETURN_DOUBLINGS = 4
+RAMP_DOUBLINGS = 4
 """Doublings after the end of a limit until the target's rate is no longer bounded."""
-RETURN_FROM_PER_S = 1.0
+RAMP_START_PER_S = 1.0
 """Lowest rate at which the ramp-up after a limit starts, in requests a second."""
 PROBE_S = 5.0
 """Shortest time without a statement of a limit after which an entry sends a probe, a request beyond
 its share that shows whether the limit is still in force, in seconds."""
-PROBE_LEAST_PER_S = 0.25
+PROBE_MIN_PER_S = 0.25
 """Rate of probes a second that a target can bear from all entries together, at any limit."""
 PROBE_SPREAD = 0.5
 """Largest part by which an entry's time to its first probe is prolonged, to spread the probes."""
@@ -55,7 +55,7 @@
         return has_age and (self.limit_per_s is None or _is_limit(self.limit_per_s))
 
 
-class _State(NamedTuple):
+class _LimitState(NamedTuple):
     """One target's limit, or the ramp-up after it.
 
     Attributes
@@ -85,9 +85,11 @@
 
     def __init__(self, own_name: str) -> None:
         self._own_name = own_name
-        self._states: dict[str, _State] = {}
+        self._states: dict[str, _LimitState] = {}
 
-    def add(self, target: str, limit_per_s: float | None, said_at: float, *, entries: int) -> bool:
+    def add(
+        self, target: str, limit_per_s: float | None, answered_at: float, *, entries: int
+    ) -> bool:
         """Apply a target's statement; return whether it changed the limit.
 
         Parameters
@@ -100,21 +102,21 @@
             Entries that share the limit.
         """
         known = self._states.get(target)
-        if known is not None and said_at < known.said_at:
+        if known is not None and answered_at < known.said_at:
             return False
         if limit_per_s is None:
-            return self._end(target, known, said_at)
-        is_news = known is None or known.ended_at is not None or known.limit_per_s != limit_per_s
+            return self._start_ramp(target, known, answered_at)
+        is_changed = known is None or known.ended_at is not None or known.limit_per_s != limit_per_s
         spread = 1.0 + PROBE_SPREAD * to_unit(f"{self._own_name}/{target}")
-        probe_at = said_at + spread * _find_probe_wait(limit_per_s, entries)
-        self._states[target] = _State(limit_per_s, said_at, None, probe_at)
-        return is_news
+        probe_at = answered_at + spread * _find_probe_wait(limit_per_s, entries)
+        self._states[target] = _LimitState(limit_per_s, answered_at, None, probe_at)
+        return is_changed
 
-    def _end(self, target: str, known: _State | None, said_at: float) -> bool:
+    def _start_ramp(self, target: str, known: _LimitState | None, answered_at: float) -> bool:
         """Start the ramp-up of a target's rate; False if there was no limit in force."""
         if known is None or known.ended_at is not None:
             return False
-        self._states[target] = known._replace(said_at=said_at, ended_at=said_at)
+        self._states[target] = known._replace(said_at=answered_at, ended_at=answered_at)
         return True
 
     def get_limit(self, target: str, now: float) -> float | None:
@@ -124,24 +126,24 @@
             return None
         if state.ended_at is None:
             return state.limit_per_s
-        doublings = max(0.0, now - state.ended_at) / RETURN_S
-        if doublings >= RETURN_DOUBLINGS:
+        doublings = max(0.0, now - state.ended_at) / RAMP_STEP_S
+        if doublings >= RAMP_DOUBLINGS:
             del self._states[target]
             return None
-        return float(max(state.limit_per_s, RETURN_FROM_PER_S) * 2**doublings)
+        return float(max(state.limit_per_s, RAMP_START_PER_S) * 2**doublings)
 
-    def may_probe(self, target: str, now: float) -> bool:
+    def can_probe(self, target: str, now: float) -> bool:
         """Check whether this entry may send a request that probes if the limit is in force."""
         state = self._states.get(target)
         return state is not None and state.ended_at is None and now >= state.probe_at
 
-    def note_probe(self, target: str, now: float, *, entries: int) -> None:
+    def record_probe(self, target: str, now: float, *, entries: int) -> None:
         """Record that this entry sent a probe, and set the time of the next one."""
         state = self._states[target]
         wait_s = _find_probe_wait(state.limit_per_s, entries)
         self._states[target] = state._replace(probe_at=now + wait_s)
 
-    def names_limit(self, target: str) -> bool:
+    def has_limit(self, target: str) -> bool:
         """Check whether a target has a limit, or is in the ramp-up after one."""
         return target in self._states
 
@@ -168,7 +170,7 @@
 
 def _find_probe_wait(limit_per_s: float, entries: int) -> float:
     """Return the shortest time between two probes of one entry, in seconds."""
-    return max(PROBE_S, entries / max(limit_per_s, PROBE_LEAST_PER_S))
+    return max(PROBE_S, entries / max(limit_per_s, PROBE_MIN_PER_S))
 
 
 def _is_limit(limit_per_s: float) -> bool:
--- a/halldoor/core/targets/load.py
+++ b/halldoor/core/targets/load.py
@@ -11,19 +11,19 @@
 import math
 from typing import NamedTuple
 
-NEWS_LEAST_S = 0.2
+REPORT_DECAY_MIN_S = 0.2
 """Shortest decay time of a report, in seconds: one to two requests of 0.1 s."""
-NEWS_GAPS = 0.5
+REPORT_DECAY_GAPS = 0.5
 """Decay time of a report, in multiples of the time between two reports of a target."""
-NEWS_WORKS = 8.0
+REPORT_DECAY_WORKS = 8.0
 """Longest decay time of a report, in multiples of the mean work: the queue has changed by then."""
-HABIT_LEAST_S = 3.0
+AVERAGE_DECAY_MIN_S = 3.0
 """Shortest decay time of others' average requests without further reports, in seconds."""
-HABIT_GAPS = 4.0
+AVERAGE_DECAY_GAPS = 4.0
 """The same in multiples of the time between two reports of a target: several are missing then."""
 INTERVAL_WEIGHT = 0.05
 """Weight of the newest interval between reports of a service: about the last twenty count."""
-HABIT_WEIGHT = 0.2
+AVERAGE_WEIGHT = 0.2
 """Weight of the newest report in others' average requests: about the last five count."""
 PRESSURE_WEIGHT = 0.1
 """Weight of the newest report in a target's pressure: about the last ten count."""
@@ -59,7 +59,7 @@
         return (self.running + self.waiting) / self.slots
 
 
-class Fade(NamedTuple):
+class DecayTimes(NamedTuple):
     """Decay times of a report.
 
     Attributes
@@ -70,22 +70,24 @@
         Time in which others' average requests fall to a third without reports, in seconds.
     """
 
-    news_s: float = NEWS_LEAST_S
-    habit_s: float = HABIT_LEAST_S
+    news_s: float = REPORT_DECAY_MIN_S
+    habit_s: float = AVERAGE_DECAY_MIN_S
 
     @classmethod
-    def from_pace(cls, *, gap_s: float, work_s: float) -> Fade:
+    def from_pace(cls, *, gap_s: float, work_s: float) -> DecayTimes:
         """Compute it from the time between two reports of a target, and the service's work."""
-        news_s = min(NEWS_GAPS * gap_s, NEWS_WORKS * work_s)
-        return cls(max(NEWS_LEAST_S, news_s), max(HABIT_LEAST_S, HABIT_GAPS * gap_s))
+        news_s = min(REPORT_DECAY_GAPS * gap_s, REPORT_DECAY_WORKS * work_s)
+        return cls(
+            max(REPORT_DECAY_MIN_S, news_s), max(AVERAGE_DECAY_MIN_S, AVERAGE_DECAY_GAPS * gap_s)
+        )
 
     @property
-    def old_s(self) -> float:
+    def stale_after_s(self) -> float:
         """Age from which a report hardly counts, only the average does, in seconds."""
         return 3 * self.news_s
 
 
-class _Pace:
+class _ReportPace:
     """The rate at which this entry gets reports of a service's targets, all together.
 
     Attributes
@@ -97,7 +99,7 @@
     def __init__(self) -> None:
         self.interval_s = 0.0
         self._last_at: float | None = None
-        self.fade = Fade()
+        self.decay = DecayTimes()
 
     def add(self, now: float) -> None:
         """Record the time of a report."""
@@ -108,7 +110,7 @@
         self._last_at = now
 
 
-class _Reported:
+class _TargetLoad:
     """The load of a target by its reports.
 
     Attributes
@@ -119,15 +121,15 @@
         Moving average of others' requests.
     pressure : float
         Moving average of the reported load, in multiples of the slots.
-    pace : _Pace
+    pace : _ReportPace
         Rate of reports of the service's targets.
     """
 
-    def __init__(self, pressure: float, pace: _Pace) -> None:
+    def __init__(self, pressure: float, pace: _ReportPace) -> None:
         self.pace = pace
         self.load = 0.0
         self.others = 0.0
-        self.usual = 0.0
+        self.average = 0.0
         self.pressure = pressure
         self.at = 0.0
 
@@ -136,10 +138,10 @@
     """Loads of the targets by their reports, this entry's own requests deducted."""
 
     def __init__(self) -> None:
-        self._reported: dict[str, _Reported] = {}
-        self._paces: dict[str, _Pace] = {}
+        self._loads: dict[str, _TargetLoad] = {}
+        self._paces: dict[str, _ReportPace] = {}
 
-    def adapt(self, service: str, *, targets: int, work_s: float) -> None:
+    def update_decay(self, service: str, *, targets: int, work_s: float) -> None:
         """Compute the decay times of a service's reports from its size and work.
 
         Parameters
@@ -150,11 +152,11 @@
             Mean work of its requests, in seconds.
         """
         pace = self._find_pace(service)
-        pace.fade = Fade.from_pace(gap_s=targets * pace.interval_s, work_s=work_s)
+        pace.decay = DecayTimes.from_pace(gap_s=targets * pace.interval_s, work_s=work_s)
 
-    def _find_pace(self, service: str) -> _Pace:
+    def _find_pace(self, service: str) -> _ReportPace:
         """Return the pace of a service's reports, new if there is none."""
-        return self._paces.setdefault(service, _Pace())
+        return self._paces.setdefault(service, _ReportPace())
 
     def add(
         self, target: str, report: LoadReport, now: float, *, own: int, service: str = ""
@@ -167,54 +169,54 @@
             This entry's requests on the target, the answered one included.
         """
         others = max(0.0, float(report.running + report.waiting - own))
-        known = self._reported.get(target)
+        known = self._loads.get(target)
         if known is None:
-            known = _Reported(pressure=report.load, pace=self._find_pace(service))
-            self._reported[target] = known
+            known = _TargetLoad(pressure=report.load, pace=self._find_pace(service))
+            self._loads[target] = known
         known.pace.add(now)
         known.load = report.load
         known.others = others
-        known.usual += HABIT_WEIGHT * (others - known.usual)
+        known.average += AVERAGE_WEIGHT * (others - known.average)
         known.pressure += PRESSURE_WEIGHT * (report.load - known.pressure)
         known.at = now
 
     def has_report(self, target: str) -> bool:
         """Check whether a target ever reported."""
-        return target in self._reported
+        return target in self._loads
 
     def estimate_others(self, target: str, now: float) -> float:
         """Estimate other entries' requests on a target; 0 if it never reported.
 
         The estimate decays from the reported number to the average, and from there to 0.
         """
-        known = self._reported.get(target)
+        known = self._loads.get(target)
         if known is None:
             return 0.0
         age_s = now - known.at
-        fade = known.pace.fade
-        usual = known.usual * math.exp(-age_s / fade.habit_s)
-        return usual + (known.others - usual) * math.exp(-age_s / fade.news_s)
+        decay = known.pace.decay
+        average = known.average * math.exp(-age_s / decay.habit_s)
+        return average + (known.others - average) * math.exp(-age_s / decay.news_s)
 
-    def get_old_s(self, target: str) -> float:
+    def get_stale_after_s(self, target: str) -> float:
         """Return the age from which a target's report hardly counts, in seconds."""
-        known = self._reported.get(target)
-        return Fade().old_s if known is None else known.pace.fade.old_s
+        known = self._loads.get(target)
+        return DecayTimes().stale_after_s if known is None else known.pace.decay.stale_after_s
 
     def get_pressure(self, target: str) -> float:
         """Return the moving average of a target's load, in multiples of its slots; 0 if unknown."""
-        known = self._reported.get(target)
+        known = self._loads.get(target)
         return 0.0 if known is None else known.pressure
 
     def get_load(self, target: str) -> float:
         """Return a target's last reported load, in multiples of its slots; 0 if there is none."""
-        known = self._reported.get(target)
+        known = self._loads.get(target)
         return 0.0 if known is None else known.load
 
-    def age(self, target: str, now: float) -> float | None:
+    def get_report_age(self, target: str, now: float) -> float | None:
         """Return the age of a target's last report, in seconds; None if there is none."""
-        known = self._reported.get(target)
+        known = self._loads.get(target)
         return None if known is None else now - known.at
 
     def forget(self, target: str) -> None:
         """Drop the reports of a target that was removed."""
-        self._reported.pop(target, None)
+        self._loads.pop(target, None)
--- a/halldoor/core/targets/order.py
+++ b/halldoor/core/targets/order.py
@@ -11,7 +11,7 @@
 
 from halldoor.core.placement import hash_pairs, to_unit
 from halldoor.core.targets.catalog import Catalog
-from halldoor.core.targets.regionshare import OwnShare, Room, find_own_share
+from halldoor.core.targets.regionshare import OwnShare, RegionSlots, compute_own_share
 from halldoor.core.targets.route import Route
 from halldoor.core.targets.target import Target
 
@@ -21,7 +21,7 @@
 OWN_WEIGHT = 6.0
 """Factor on the weight of the own region's targets, for a key's targets after the first."""
 
-_UNITS = float((1 << 64) + 1)
+_HASH_RANGE = float((1 << 64) + 1)
 _BY_SCORE = itemgetter(0, 1)
 
 
@@ -105,9 +105,9 @@
 
     def __init__(self) -> None:
         self.share = OwnShare()
-        self.room = Room(0, 0)
+        self.slots = RegionSlots(0, 0)
         self.aim = 0.0
-        self.asked = (0.0, 0.0)
+        self.fill_settings = (0.0, 0.0)
         self.version = -1
 
 
@@ -141,7 +141,7 @@
         self._orders: dict[tuple[str, str, tuple[str, ...], _Placement], _Order] = {}
         self._candidates: dict[tuple[str, tuple[str, ...], bool], list[_Candidate]] = {}
         self._shares: dict[tuple[str, str, tuple[str, ...]], _ServiceShare] = {}
-        self._points: dict[str, float] = {}
+        self._key_points: dict[str, float] = {}
         self._version = -1
 
     def get_order(
@@ -160,7 +160,7 @@
             self._version = self._catalog.version
             self._orders.clear()
             self._candidates.clear()
-            self._points.clear()
+            self._key_points.clear()
             self._forget_routes()
         key = key or self._own_name
         placement = self._find_placement(route, service, key, now, settings)
@@ -173,7 +173,9 @@
             self._orders[name] = order
         return order.targets
 
-    def replace_first(self, order: Sequence[Target], out: Collection[str]) -> Sequence[Target]:
+    def substitute_first(
+        self, order: Sequence[Target], excluded: Collection[str]
+    ) -> Sequence[Target]:
         """Move the next usable target of the first one's region to the front.
 
         The key moves to that target anyway when the first one's record is removed, so its requests
@@ -188,8 +190,8 @@
             Targets that are avoided for now.
         """
         is_far = self.is_far(order[0].record.hall)
-        return _put_first(
-            order, lambda t: t.name not in out and self.is_far(t.record.hall) is is_far
+        return _move_first(
+            order, lambda t: t.name not in excluded and self.is_far(t.record.hall) is is_far
         )
 
     def _build_order(
@@ -198,19 +200,23 @@
         """Compute the order of some targets for a key."""
         hashes = hash_pairs(key, [c.encoded_name for c in candidates])
         scored = [
-            (-candidate.weight / math.log((pair + 1) / _UNITS), candidate.name, candidate.target)
+            (
+                -candidate.weight / math.log((pair + 1) / _HASH_RANGE),
+                candidate.name,
+                candidate.target,
+            )
             for pair, candidate in zip(hashes, candidates, strict=True)
         ]
         scored.sort(key=_BY_SCORE, reverse=True)
         warm = [target for _, _, target in scored if not target.is_cold(now)]
         if len(warm) == len(scored):
-            return _Order(self._place(warm, placement), math.inf)
-        order = self._place([target for _, _, target in scored], placement)
+            return _Order(self._arrange(warm, placement), math.inf)
+        order = self._arrange([target for _, _, target in scored], placement)
         # All targets of a hall may turn cold, and stop being cold, at the same moment.  Cold
         # targets keep their positions, and get what their rates allow; the others are ordered as
         # if the cold ones didn't exist.  Otherwise a third of the region's requests would change
         # their region at once.
-        others = iter(self._place(warm, placement))
+        others = iter(self._arrange(warm, placement))
         targets = [target if target.is_cold(now) else next(others) for target in order]
         until = min(target.cold_until for target in order if target.is_cold(now))
         return _Order(targets, until)
@@ -221,26 +227,26 @@
         """Return which regions a key's targets come from, by the region's share of the keys."""
         if settings.fill <= 0:
             return _Placement.ANY
-        share = self._follow_share(route, service, settings, now)
-        point = self._points.get(key)
+        share = self._update_share(route, service, settings, now)
+        point = self._key_points.get(key)
         if point is None:
-            point = self._points[key] = to_unit(f"region of {key}")
+            point = self._key_points[key] = to_unit(f"region of {key}")
         share.weights.add(point, now)
-        if point < share.present:
+        if point < share.current:
             return _Placement.OWN
         # Requests that spill to other regions return as slowly as the keys do: both together must
         # stay within the bound on moves.
         is_away = share.lag > 0 and to_unit(f"spill of {key}") < share.lag
         return _Placement.AWAY if is_away else _Placement.OTHER
 
-    def _place(self, order: Sequence[Target], placement: _Placement) -> Sequence[Target]:
+    def _arrange(self, order: Sequence[Target], placement: _Placement) -> Sequence[Target]:
         """Rearrange an order so that targets of the wanted regions come first, if there are any."""
         if placement is _Placement.ANY:
             return order
         if placement is _Placement.AWAY:
             return sorted(order, key=lambda target: not self.is_far(target.record.hall))
         is_far = placement is _Placement.OTHER
-        return _put_first(order, lambda t: self.is_far(t.record.hall) is is_far)
+        return _move_first(order, lambda t: self.is_far(t.record.hall) is is_far)
 
     def _get_candidates(
         self, service: str, homes: tuple[str, ...], prefers_own: bool
@@ -256,7 +262,8 @@
             if homes:
                 usable = [t for t in usable if self.regions.get(t.record.hall) in homes]
             candidates = self._candidates[name] = [
-                _Candidate(t.name, t.name.encode(), self._weigh(t, prefers_own), t) for t in usable
+                _Candidate(t.name, t.name.encode(), self._find_weight(t, prefers_own), t)
+                for t in usable
             ]
         return candidates
 
@@ -267,7 +274,7 @@
             names = {route.name for route in routing.routes}
             self._shares = {k: state for k, state in self._shares.items() if k[0] in names}
 
-    def _follow_share(
+    def _update_share(
         self, route: Route, service: str, settings: OrderSettings, now: float
     ) -> OwnShare:
         """Update the share of keys whose first target is in the own region, by the slots there."""
@@ -275,28 +282,28 @@
         state = self._shares.get(name)
         if state is None:
             state = self._shares[name] = _ServiceShare()
-        asked = (settings.fill, settings.most)
-        if (state.version, state.asked) != (self._catalog.version, asked):
-            state.version, state.asked = self._catalog.version, asked
-            state.room = self._measure_room(service, route.home_regions)
-            state.aim = find_own_share(
-                room=state.room.own_part,
-                callers=self._find_callers(),
+        fill_settings = (settings.fill, settings.most)
+        if (state.version, state.fill_settings) != (self._catalog.version, fill_settings):
+            state.version, state.fill_settings = self._catalog.version, fill_settings
+            state.slots = self._sum_slots(service, route.home_regions)
+            state.aim = compute_own_share(
+                slot_part=state.slots.own_part,
+                caller_part=self._find_caller_part(),
                 fill=settings.fill,
                 most=settings.most,
             )
-        state.share.follow(state.room, state.aim, now, max_shift=settings.max_shift)
+        state.share.update(state.slots, state.aim, now, max_shift=settings.max_shift)
         return state.share
 
-    def _measure_room(self, service: str, homes: tuple[str, ...]) -> Room:
+    def _sum_slots(self, service: str, homes: tuple[str, ...]) -> RegionSlots:
         """Sum the slots of a service's usable targets, in the own region and in others."""
         slots: Counter[bool] = Counter()
         for candidate in self._get_candidates(service, homes, True):
             record = candidate.target.record
             slots[self.is_far(record.hall)] += record.slots
-        return Room(own=slots[False], far=slots[True])
+        return RegionSlots(own=slots[False], far=slots[True])
 
-    def _find_callers(self) -> float:
+    def _find_caller_part(self) -> float:
         """Return the region's part of the callers, 0 to 1.
 
         It is estimated as the region's part of the halls: every entry knows the same number of
@@ -305,7 +312,7 @@
         halls = [region == self._own_region for region in self.regions.values()]
         return sum(halls) / len(halls) if any(halls) else 1.0
 
-    def _weigh(self, target: Target, prefers_own: bool) -> float:
+    def _find_weight(self, target: Target, prefers_own: bool) -> float:
         """Return a target's weight: its slots, times `OWN_WEIGHT` for a preferred own region."""
         slots = float(max(1, target.record.slots))
         is_preferred = prefers_own and not self.is_far(target.record.hall)
@@ -323,9 +330,9 @@
         return self.regions.get(hall) != self._own_region
 
 
-def _put_first(order: Sequence[Target], is_meant: Callable[[Target], bool]) -> Sequence[Target]:
+def _move_first(order: Sequence[Target], matches: Callable[[Target], bool]) -> Sequence[Target]:
     """Move the first target that matches to the front; return the order unchanged if none does."""
     for place, target in enumerate(order):
-        if is_meant(target):
+        if matches(target):
             return [target, *order[:place], *order[place + 1 :]]
     return order
--- a/halldoor/core/targets/rates.py
+++ b/halldoor/core/targets/rates.py
@@ -13,7 +13,7 @@
 from halldoor.core.targets.budget import RateShare
 from halldoor.core.targets.catalog import Catalog
 from halldoor.core.targets.limits import LimitTable
-from halldoor.core.targets.rests import RestTable
+from halldoor.core.targets.rests import BackoffTable
 from halldoor.core.targets.settings import ChoiceSettings
 from halldoor.core.targets.target import Target
 
@@ -79,58 +79,58 @@
         catalog: Catalog,
         ranks: EntryRanks,
         limits: LimitTable,
-        rests: RestTable,
+        backoffs: BackoffTable,
         in_flight: Mapping[str, int],
     ) -> None:
         self._catalog = catalog
         self._ranks = ranks
         self._limits = limits
-        self._rests = rests
+        self._backoffs = backoffs
         self._in_flight = in_flight
-        self._cold = RateShare(window_s=COLD_WINDOW_S)
-        self._limited = RateShare(window_s=LIMIT_WINDOW_S)
+        self._cold_share = RateShare(window_s=COLD_WINDOW_S)
+        self._limit_share = RateShare(window_s=LIMIT_WINDOW_S)
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Start counting at this entry's start.
 
         Nothing is sent to bounded targets in the first window, since this entry doesn't know what
         it sent before a restart.
         """
-        self._cold = RateShare(window_s=COLD_WINDOW_S, began_at=now)
-        self._limited = RateShare(window_s=LIMIT_WINDOW_S, began_at=now)
+        self._cold_share = RateShare(window_s=COLD_WINDOW_S, began_at=now)
+        self._limit_share = RateShare(window_s=LIMIT_WINDOW_S, began_at=now)
 
-    def find_reason_against(self, target: Target, now: float, settings: ChoiceSettings) -> str:
+    def find_refusal_reason(self, target: Target, now: float, settings: ChoiceSettings) -> str:
         """Return why this entry may not send to a target now; empty if it may."""
-        if self._rests and not self._may_send_after_rest(target, now):
+        if self._backoffs and not self._can_send_after_backoff(target, now):
             return "rest"
-        if target.is_cold(now) and not self._has_cold_room(target, now, settings):
+        if target.is_cold(now) and not self._has_cold_capacity(target, now, settings):
             return "cold"
-        if self._limits.names_limit(target.name) and not self._has_limit_room(target, now):
+        if self._limits.has_limit(target.name) and not self._has_limit_capacity(target, now):
             return "limit"
         return ""
 
-    def take(self, target: Target, now: float, settings: ChoiceSettings) -> bool:
+    def reserve_request(self, target: Target, now: float, settings: ChoiceSettings) -> bool:
         """Count a request to a target against this entry's shares; False if one is used up."""
-        if self.find_reason_against(target, now, settings):
+        if self.find_refusal_reason(target, now, settings):
             return False
-        if self._rests:
-            self._rests.note_sent(target.start, now)
+        if self._backoffs:
+            self._backoffs.record_sent(target.start, now)
         # Counted for warm targets too: one may turn cold before this entry is notified of it.
-        self._cold.add(target.name, now)
+        self._cold_share.add(target.name, now)
         if self._limits.get_limit(target.name, now) is not None:
-            self._take_limited(target, now)
+            self._count_limited(target, now)
         return True
 
     def find_wait(self, target: Target, now: float) -> float:
         """Return the time until a limited target may get a request, in seconds; 0 if unknown."""
-        return self._limited.find_wait(target.name, now)
+        return self._limit_share.find_wait(target.name, now)
 
-    def _may_send_after_rest(self, target: Target, now: float) -> bool:
+    def _can_send_after_backoff(self, target: Target, now: float) -> bool:
         """Check whether no back-off of a target forbids a request from this entry."""
         in_flight = self._in_flight.get(target.name, 0)
-        return self._rests.may_send(target.start, now, in_flight=in_flight)
+        return self._backoffs.can_send(target.start, now, in_flight=in_flight)
 
-    def _has_cold_room(self, target: Target, now: float, settings: ChoiceSettings) -> bool:
+    def _has_cold_capacity(self, target: Target, now: float, settings: ChoiceSettings) -> bool:
         """Check whether this entry's share of a cold target's rate allows another request."""
         routing = self._catalog.routing
         service = routing.services.get(target.record.service) if routing is not None else None
@@ -138,29 +138,31 @@
             return False
         allowed = service.cold_rate_per_s * settings.cold_excess + settings.cold_slack
         limit_per_s = allowed * settings.cold_margin
-        return limit_per_s > 0 and self._has_room(self._cold, target, now, max(1, int(limit_per_s)))
+        return limit_per_s > 0 and self._has_capacity(
+            self._cold_share, target, now, max(1, int(limit_per_s))
+        )
 
-    def _has_limit_room(self, target: Target, now: float) -> bool:
+    def _has_limit_capacity(self, target: Target, now: float) -> bool:
         """Check whether this entry's share of a target's stated limit allows another request."""
         limit_per_s = self._limits.get_limit(target.name, now)
-        if limit_per_s is None or self._limits.may_probe(target.name, now):
+        if limit_per_s is None or self._limits.can_probe(target.name, now):
             return True
-        return self._has_room(self._limited, target, now, int(limit_per_s * LIMIT_WINDOW_S))
+        return self._has_capacity(self._limit_share, target, now, int(limit_per_s * LIMIT_WINDOW_S))
 
-    def _has_room(self, share: RateShare, target: Target, now: float, limit: int) -> bool:
+    def _has_capacity(self, share: RateShare, target: Target, now: float, limit: int) -> bool:
         """Check whether this entry's share of a rate allows another request."""
         entries = self._catalog.count_sharers(now)
         place = self._ranks.get_rank(target.name)
-        return share.has_room(target.name, now, limit=limit, entries=entries, rank=place)
+        return share.has_capacity(target.name, now, limit=limit, entries=entries, rank=place)
 
-    def _take_limited(self, target: Target, now: float) -> None:
+    def _count_limited(self, target: Target, now: float) -> None:
         """Count a request to a target that states a limit."""
-        self._limited.add(target.name, now)
-        if self._limits.may_probe(target.name, now):
+        self._limit_share.add(target.name, now)
+        if self._limits.can_probe(target.name, now):
             entries = self._catalog.count_sharers(now)
-            self._limits.note_probe(target.name, now, entries=entries)
+            self._limits.record_probe(target.name, now, entries=entries)
 
     def forget(self, target: str) -> None:
         """Drop the counts of a target that was removed."""
-        self._cold.forget(target)
-        self._limited.forget(target)
+        self._cold_share.forget(target)
+        self._limit_share.forget(target)
--- a/halldoor/core/targets/regionflow.py
+++ b/halldoor/core/targets/regionflow.py
@@ -13,9 +13,9 @@
 
 WINDOW_S = 2.0
 """Length of the compared windows, in seconds: the window of the operators' bound on moves."""
-MOVED_LEAST = 0.15
+MOVED_MIN = 0.15
 """Smallest part of the requests whose move is reported: the operators' usual bound on moves."""
-REQUESTS_LEAST = 20
+REQUESTS_MIN = 20
 """Fewest requests in either window; with fewer, the part that moved is mostly chance."""
 
 
@@ -61,7 +61,7 @@
         window = int(now / WINDOW_S)
         move = None
         if window != self._window:
-            move = find_move(self._last, self._current)
+            move = compute_move(self._last, self._current)
             is_next = window == self._window + 1
             self._last = self._current if is_next else Counter()
             self._current = Counter()
@@ -70,7 +70,7 @@
         return move
 
 
-def find_move(
+def compute_move(
     before: Counter[tuple[str, RunReason]], after: Counter[tuple[str, RunReason]]
 ) -> RegionMove | None:
     """Compute the move between two windows; None if it is small or there are few requests.
@@ -80,11 +80,11 @@
     before, after : Counter of (str, RunReason)
         Requests of each window by region of execution and reason.
     """
-    if min(before.total(), after.total()) < REQUESTS_LEAST:
+    if min(before.total(), after.total()) < REQUESTS_MIN:
         return None
     by_region = [_sum(counts, 0) for counts in (before, after)]
     part = measure_move(*by_region)
-    if part < MOVED_LEAST:
+    if part < MOVED_MIN:
         return None
     by_reason = [_sum(counts, 1) for counts in (before, after)]
     reasons = {
--- a/halldoor/core/targets/regionshare.py
+++ b/halldoor/core/targets/regionshare.py
@@ -15,7 +15,7 @@
 
 SHARE_STEP = 0.05
 """Step in which the target value of the share is rounded."""
-SLEW_PART = 1 / 3
+SHIFT_PART = 1 / 3
 """Part of the bound on moves that is used.  Random variation between windows of 250 requests moves
 about as much."""
 BUCKETS = 100
@@ -24,7 +24,7 @@
 MEMORY_S = 10.0
 """Time in which counted requests decay to a third, in seconds: an entry with few callers gets a
 hundred requests in it."""
-EDGE = 1e-6
+EDGE_TOLERANCE = 1e-6
 """Tolerance for rounding errors at a bucket's edge, as part of a bucket."""
 DECAY_S = 1.0
 """Time between two updates of the decay, in seconds."""
@@ -75,7 +75,7 @@
         return self.near_fill if is_near else self.fill
 
 
-def find_own_share(*, room: float, callers: float, fill: float, most: float) -> float:
+def compute_own_share(*, slot_part: float, caller_part: float, fill: float, most: float) -> float:
     """Compute the part of a region's keys whose first target is in the region.
 
     It is rounded to steps, so that a target that joins or leaves mostly moves only its own keys.
@@ -87,11 +87,11 @@
     fill, most : float
         See `RegionShares`.
     """
-    share = min(most, fill * room / callers)
+    share = min(most, fill * slot_part / caller_part)
     return round(share / SHARE_STEP) * SHARE_STEP
 
 
-class Room(NamedTuple):
+class RegionSlots(NamedTuple):
     """Slots of a service's targets, cold ones included, in the own region and in others."""
 
     own: int
@@ -131,7 +131,7 @@
         self._counts[int(point * BUCKETS)] += 1.0
         self._total += 1.0
 
-    def find(self, bucket: int) -> float:
+    def get_part(self, bucket: int) -> float:
         """Return the part of the requests that falls on a bucket; it is never 0."""
         count = self._counts[bucket] + ASSUMED_REQUESTS / BUCKETS
         return count / (self._total + ASSUMED_REQUESTS)
@@ -155,20 +155,20 @@
         self.weights = KeyWeights()
         self._share: float | None = None
         self._aim = 0.0
-        self._room = Room(0, 0)
+        self._slots = RegionSlots(0, 0)
         self._at = 0.0
 
     @property
-    def present(self) -> float:
+    def current(self) -> float:
         """The current share, 0 to 1."""
         return 0.0 if self._share is None else self._share
 
     @property
     def lag(self) -> float:
         """Part of the wanted share that the current share still lacks, 0 to 1."""
-        return max(0.0, 1.0 - self.present / self._aim) if self._aim > 0 else 0.0
+        return max(0.0, 1.0 - self.current / self._aim) if self._aim > 0 else 0.0
 
-    def follow(self, room: Room, aim: float, now: float, *, max_shift: float) -> float:
+    def update(self, slots: RegionSlots, aim: float, now: float, *, max_shift: float) -> float:
         """Move the share towards its wanted value, and return it.
 
         Parameters
@@ -176,19 +176,19 @@
         slots : RegionSlots
             Slots of the service's usable targets.
         aim : float
-            The wanted share; see `find_own_share`.
+            The wanted share; see `compute_own_share`.
         max_shift : float
             Part of a region's requests that may change its region from one window to the next.
         """
         if self._share is None:
             self._share = aim
-        elif _has_lost(self._room, room):
+        elif _has_lost_slots(self._slots, slots):
             # Only the loss is applied at once: a slow move in progress continues slowly.
             self._share = min(1.0, max(0.0, self._share + aim - self._aim))
         if self._share != aim:
-            allowed = SLEW_PART * max_shift / WINDOW_S * (now - self._at)
+            allowed = SHIFT_PART * max_shift / WINDOW_S * (now - self._at)
             self._share = self._move(self._share, aim, allowed)
-        self._aim, self._room, self._at = aim, room, now
+        self._aim, self._slots, self._at = aim, slots, now
         return self._share
 
     def _move(self, share: float, aim: float, allowed: float) -> float:
@@ -197,10 +197,14 @@
         while share != aim:
             place = share * BUCKETS
             # Rounding may put the share just beside an edge, which must not be processed twice.
-            bucket = math.floor(place + EDGE) if step > 0 else math.ceil(place - EDGE) - 1
+            bucket = (
+                math.floor(place + EDGE_TOLERANCE)
+                if step > 0
+                else math.ceil(place - EDGE_TOLERANCE) - 1
+            )
             edge = (bucket + (step > 0)) / BUCKETS
             end = min(edge, aim) if step > 0 else max(edge, aim)
-            weight = self.weights.find(bucket) * BUCKETS
+            weight = self.weights.get_part(bucket) * BUCKETS
             if weight * abs(end - share) > allowed:
                 return share + step * allowed / weight
             allowed -= weight * abs(end - share)
@@ -208,6 +212,6 @@
         return share
 
 
-def _has_lost(before: Room, after: Room) -> bool:
+def _has_lost_slots(before: RegionSlots, after: RegionSlots) -> bool:
     """Check whether slots were lost: targets are removed, drain, or are in an evacuated hall."""
     return after.own < before.own or after.far < before.far
--- a/halldoor/core/targets/relay.py
+++ b/halldoor/core/targets/relay.py
@@ -104,33 +104,33 @@
         return sum(getattr(self, f"{part}_s") for part in chain)
 
 
-_CUT = ("call", "retry", "connect", "call")
+_WATCH_CUT = ("call", "retry", "connect", "call")
 """A watch is cut, and another one is opened."""
-_REFUSED = ("retry", "call")
+_CALL_REFUSED = ("retry", "call")
 """A call is refused, and made again."""
-_LOST_HISTORY = (*_CUT, "retry", "reading")
+_HISTORY_LOST = (*_WATCH_CUT, "retry", "reading")
 """The watch opened after a cut finds the store's history lost, so that all records are read."""
-_LOST_READER = ("age", "connect", "call")
+_READER_LOST = ("age", "connect", "call")
 """A follower loses its reader and calls the store itself."""
-CHAINS = {
+CHANGE_PATHS = {
     "own watch": ("own_pause", "call", "request"),
-    "own watch, cut": ("own_pause", *_CUT, "request"),
-    "own watch, cut and refused": ("own_pause", *_CUT, *_REFUSED, "request"),
-    "own watch, history lost": ("own_pause", *_LOST_HISTORY, "request"),
-    "own watch, history lost, refused": ("own_pause", *_LOST_HISTORY, *_REFUSED, "request"),
+    "own watch, cut": ("own_pause", *_WATCH_CUT, "request"),
+    "own watch, cut and refused": ("own_pause", *_WATCH_CUT, *_CALL_REFUSED, "request"),
+    "own watch, history lost": ("own_pause", *_HISTORY_LOST, "request"),
+    "own watch, history lost, refused": ("own_pause", *_HISTORY_LOST, *_CALL_REFUSED, "request"),
     "reader": ("reader_pause", "call", "poll", "request"),
-    "reader, cut": ("reader_pause", *_CUT, "poll", "request"),
-    "reader, history lost": ("reader_pause", *_LOST_HISTORY, "poll", "request"),
+    "reader, cut": ("reader_pause", *_WATCH_CUT, "poll", "request"),
+    "reader, history lost": ("reader_pause", *_HISTORY_LOST, "poll", "request"),
     "reader, history lost, refused": (
         "reader_pause",
-        *_LOST_HISTORY,
-        *_REFUSED,
+        *_HISTORY_LOST,
+        *_CALL_REFUSED,
         "poll",
         "request",
     ),
     "reader left behind, no handover": (
         "reader_pause",
-        *_LOST_HISTORY,
+        *_HISTORY_LOST,
         "poll",
         "connect",
         "call",
@@ -139,14 +139,14 @@
         "reading",
         "request",
     ),
-    "lost reader": (*_LOST_READER, "request"),
-    "lost reader, refused": (*_LOST_READER, *_REFUSED, "request"),
-    "lost reader, history lost": (*_LOST_READER, "retry", "reading", "request"),
+    "lost reader": (*_READER_LOST, "request"),
+    "lost reader, refused": (*_READER_LOST, *_CALL_REFUSED, "request"),
+    "lost reader, history lost": (*_READER_LOST, "retry", "reading", "request"),
     "lost reader, history lost, refused": (
-        *_LOST_READER,
+        *_READER_LOST,
         "retry",
         "reading",
-        *_REFUSED,
+        *_CALL_REFUSED,
         "request",
     ),
 }
@@ -283,7 +283,7 @@
     newest: str
     left: str | None = None
 
-    def is_met_by(self, era: str) -> bool:
+    def is_satisfied_by(self, era: str) -> bool:
         """Check whether a copy is the requested one, or a newer one."""
         if era == self.newest:
             return era != self.left
@@ -317,7 +317,7 @@
     def __init__(self) -> None:
         self._batches: deque[Batch[T]] = deque(maxlen=BATCHES_KEPT)
 
-    def has_news(self, after: int) -> bool:
+    def has_changes_after(self, after: int) -> bool:
         """Check whether a follower at a revision gets its answer at once, without waiting."""
         return not self._batches or self._batches[-1].revision > after
 
@@ -351,7 +351,7 @@
         )
 
 
-def find_slot_s(now: float, *, period_s: float, phase: float) -> float:
+def find_watch_slot_wait(now: float, *, period_s: float, phase: float) -> float:
     """Return the time until an entry's next watch slot, in seconds.
 
     A change completes the watches of all entries at once.  With equal pauses they would all be
@@ -369,7 +369,9 @@
     return period_s - (now - phase * period_s) % period_s
 
 
-def date_watch(*, sent_at: float, wait_s: float, returned_at: float, has_changes: bool) -> float:
+def compute_watch_proof(
+    *, sent_at: float, wait_s: float, returned_at: float, has_changes: bool
+) -> float:
     """Return the time up to which a watch's answer includes every change.
 
     A watch without changes waited its whole time at the store first.  Of a watch with changes it is
@@ -379,7 +381,7 @@
     return sent_at if has_changes or returned_at < waited else waited
 
 
-def date_poll(*, sent_at: float, held_s: float, age_s: float) -> float:
+def compute_poll_proof(*, sent_at: float, held_s: float, age_s: float) -> float:
     """Return the time up to which a reader's answer to a poll includes every change.
 
     Parameters
--- a/halldoor/core/targets/removals.py
+++ b/halldoor/core/targets/removals.py
@@ -20,7 +20,7 @@
 )
 
 
-def list_missing(
+def list_removals(
     changes: Sequence[Change],
     *,
     targets: Collection[str],
@@ -67,7 +67,7 @@
         self._due_at = {c: due_at for c in removals if c not in at_once}
         return at_once
 
-    def drop_for(self, change: Change) -> None:
+    def cancel_for(self, change: Change) -> None:
         """Cancel the postponed removal of a record that a change writes again."""
         if not self._due_at:
             return
@@ -79,7 +79,7 @@
             case EvidenceSeen(record):
                 self._due_at.pop(EvidenceGone(record.digest), None)
 
-    def take_due(self, now: float) -> list[Change]:
+    def pop_due(self, now: float) -> list[Change]:
         """Remove and return the removals that are due."""
         due = [change for change, at in self._due_at.items() if at <= now]
         for change in due:
--- a/halldoor/core/targets/rests.py
+++ b/halldoor/core/targets/rests.py
@@ -15,23 +15,23 @@
 
 from halldoor.core.targets.statement import SEPARATOR
 
-Start = tuple[str, int]
+StartKey = tuple[str, int]
 """Key of one start of a target: its incarnation and its start time in Unix milliseconds."""
 
-REST_MOST_S = 3600.0
+BACKOFF_MAX_S = 3600.0
 """Longest back-off that is observed, in seconds."""
-LOOK_S = 30.0
+PROBE_INTERVAL_S = 30.0
 """Time within a back-off between two requests that probe whether the target serves again, in
 seconds; a back-off that long may have been requested by mistake."""
-LOOKS = 2
+PROBE_COUNT = 2
 """Probes in a back-off.  It ends early if all of them are answered successfully."""
-RETURN_S = 1.0
+RAMP_STEP_S = 1.0
 """Time after a back-off in which the allowed requests in flight double, in seconds."""
-RETURN_DOUBLINGS = 3
+RAMP_DOUBLINGS = 3
 """Doublings after which the requests in flight are no longer bounded."""
 
 
-class _Rest(NamedTuple):
+class _Backoff(NamedTuple):
     """A back-off, and the ramp-up after it.
 
     Attributes
@@ -48,48 +48,48 @@
 
     until: float
     look_at: float
-    looks_left: int = LOOKS
+    looks_left: int = PROBE_COUNT
     sound_looks: int = 0
     is_proven: bool = False
 
 
-class RestTable:
+class BackoffTable:
     """The back-offs that targets requested from this entry."""
 
     def __init__(self) -> None:
-        self._rests: dict[Start, _Rest] = {}
+        self._backoffs: dict[StartKey, _Backoff] = {}
 
     def __bool__(self) -> bool:
         """Check whether any target is in a back-off, or in the ramp-up after one."""
-        return bool(self._rests)
+        return bool(self._backoffs)
 
-    def add(self, start: Start, rest_s: float, now: float) -> bool:
+    def add(self, start: StartKey, rest_s: float, now: float) -> bool:
         """Apply a back-off that a target requested; False if one was in force already.
 
         Of overlapping back-offs the longer one counts, and they share their probes.
         """
-        known = self._rests.get(start)
-        until = now + min(rest_s, REST_MOST_S)
+        known = self._backoffs.get(start)
+        until = now + min(rest_s, BACKOFF_MAX_S)
         if known is not None and now < known.until:
-            self._rests[start] = known._replace(until=max(until, known.until), sound_looks=0)
+            self._backoffs[start] = known._replace(until=max(until, known.until), sound_looks=0)
             return False
-        self._drop_returned(now)
-        self._rests[start] = _Rest(until, now + LOOK_S)
+        self._drop_finished(now)
+        self._backoffs[start] = _Backoff(until, now + PROBE_INTERVAL_S)
         return True
 
-    def add_sound(self, start: Start, now: float) -> None:
+    def add_success(self, start: StartKey, now: float) -> None:
         """Record a target's successful answer, which may end its back-off or prove its recovery."""
-        rest = self._rests.get(start)
-        if rest is None:
+        backoff = self._backoffs.get(start)
+        if backoff is None:
             return
-        if now >= rest.until:
-            self._rests[start] = rest._replace(is_proven=True)
-        elif rest.looks_left < LOOKS:
-            sound_looks = rest.sound_looks + 1
-            until = now if sound_looks >= LOOKS else rest.until
-            self._rests[start] = rest._replace(sound_looks=sound_looks, until=until)
-
-    def may_send(self, start: Start, now: float, *, in_flight: int) -> bool:
+        if now >= backoff.until:
+            self._backoffs[start] = backoff._replace(is_proven=True)
+        elif backoff.looks_left < PROBE_COUNT:
+            sound_looks = backoff.sound_looks + 1
+            until = now if sound_looks >= PROBE_COUNT else backoff.until
+            self._backoffs[start] = backoff._replace(sound_looks=sound_looks, until=until)
+
+    def can_send(self, start: StartKey, now: float, *, in_flight: int) -> bool:
         """Check whether this entry may send a target a request now.
 
         Parameters
@@ -97,39 +97,41 @@
         in_flight : int
             Requests of this entry in flight on the target.
         """
-        rest = self._rests.get(start)
-        if rest is None:
+        backoff = self._backoffs.get(start)
+        if backoff is None:
             return True
-        if now < rest.until:
-            return rest.looks_left > 0 and now >= rest.look_at
-        doublings = (now - rest.until) / RETURN_S
-        if rest.is_proven and doublings >= RETURN_DOUBLINGS:
-            del self._rests[start]
+        if now < backoff.until:
+            return backoff.looks_left > 0 and now >= backoff.look_at
+        doublings = (now - backoff.until) / RAMP_STEP_S
+        if backoff.is_proven and doublings >= RAMP_DOUBLINGS:
+            del self._backoffs[start]
             return True
-        return in_flight < (int(2**doublings) if rest.is_proven else 1)
+        return in_flight < (int(2**doublings) if backoff.is_proven else 1)
 
-    def note_sent(self, start: Start, now: float) -> None:
+    def record_sent(self, start: StartKey, now: float) -> None:
         """Record that a request was sent, which counts as a probe during a back-off."""
-        rest = self._rests.get(start)
-        if rest is not None and now < rest.until:
-            self._rests[start] = rest._replace(looks_left=rest.looks_left - 1, look_at=now + LOOK_S)
+        backoff = self._backoffs.get(start)
+        if backoff is not None and now < backoff.until:
+            self._backoffs[start] = backoff._replace(
+                looks_left=backoff.looks_left - 1, look_at=now + PROBE_INTERVAL_S
+            )
 
-    def find_wait(self, start: Start, now: float) -> float:
+    def find_wait(self, start: StartKey, now: float) -> float:
         """Return the time left of a target's back-off, in seconds; 0 without one."""
-        rest = self._rests.get(start)
-        return max(0.0, rest.until - now) if rest is not None else 0.0
+        backoff = self._backoffs.get(start)
+        return max(0.0, backoff.until - now) if backoff is not None else 0.0
 
-    def list_resting(self, now: float) -> Collection[str]:
+    def list_backed_off(self, now: float) -> Collection[str]:
         """Return the incarnations of the targets that are in a back-off."""
-        return {name for (name, _), rest in self._rests.items() if now < rest.until}
+        return {name for (name, _), backoff in self._backoffs.items() if now < backoff.until}
 
-    def _drop_returned(self, now: float) -> None:
+    def _drop_finished(self, now: float) -> None:
         """Drop back-offs whose ramp-up is over."""
-        span_s = RETURN_S * RETURN_DOUBLINGS
-        self._rests = {s: r for s, r in self._rests.items() if now < r.until + span_s}
+        span_s = RAMP_STEP_S * RAMP_DOUBLINGS
+        self._backoffs = {s: r for s, r in self._backoffs.items() if now < r.until + span_s}
 
 
-def parse_rest(value: bytes, wall_s: float) -> float:
+def parse_backoff(value: bytes, wall_s: float) -> float:
     """Parse the back-off that a target requests, in seconds; the longest one of several.
 
     Parameters
--- a/halldoor/core/targets/sharers.py
+++ b/halldoor/core/targets/sharers.py
@@ -4,10 +4,10 @@
 
 from halldoor.core.settings import Address
 
-ABSENCE_S = 60.0
+SHARE_KEPT_S = 60.0
 """Time for which an entry keeps its share after its record was removed, in seconds: it may only be
 cut off from the store, and still serve."""
-UNKNOWN_ENTRIES = 100
+ASSUMED_ENTRIES = 100
 """Number of entries assumed shortly after the start, while it is unknown: that of a large fleet."""
 
 
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self._registered: set[str] = set()
-        self._absent: dict[str, float] = {}
+        self._removed_at: dict[str, float] = {}
         self._addresses: dict[str, Address | None] = {}
         self._started_at: float | None = None
         self.version = 0
@@ -36,14 +36,14 @@
             Address from which its notices are sent.
         """
         self._addresses[name] = address
-        self._absent.pop(name, None)
+        self._removed_at.pop(name, None)
         self._registered.add(name)
         self.version += 1
 
     def remove(self, name: str, now: float) -> None:
-        """Mark an entry's record as removed; the entry keeps its share for `ABSENCE_S`."""
+        """Mark an entry's record as removed; the entry keeps its share for `SHARE_KEPT_S`."""
         self._registered.discard(name)
-        self._absent[name] = now
+        self._removed_at[name] = now
         self.version += 1
 
     def has_address(self, address: Address) -> bool:
@@ -52,7 +52,7 @@
 
     def list_names(self) -> set[str]:
         """Return the names of all entries that have a share."""
-        return {*self._registered, *self._absent}
+        return {*self._registered, *self._removed_at}
 
     def count(self, now: float, *, young_s: float) -> int:
         """Return the number of entries to divide a rate by.
@@ -68,14 +68,14 @@
         if self._started_at is None:
             self._started_at = now
         self._drop_absent(now)
-        is_young = now - self._started_at < young_s
-        known = len(self._registered) + len(self._absent)
-        return max(1, known, UNKNOWN_ENTRIES if is_young else 1)
+        is_starting = now - self._started_at < young_s
+        known = len(self._registered) + len(self._removed_at)
+        return max(1, known, ASSUMED_ENTRIES if is_starting else 1)
 
     def _drop_absent(self, now: float) -> None:
-        """Drop the entries whose record was removed more than `ABSENCE_S` ago."""
-        dropped = [name for name, at in self._absent.items() if now - at > ABSENCE_S]
+        """Drop the entries whose record was removed more than `SHARE_KEPT_S` ago."""
+        dropped = [name for name, at in self._removed_at.items() if now - at > SHARE_KEPT_S]
         for name in dropped:
-            del self._absent[name]
+            del self._removed_at[name]
             self._addresses.pop(name, None)
         self.version += bool(dropped)
--- a/halldoor/core/targets/withdrawal.py
+++ b/halldoor/core/targets/withdrawal.py
@@ -16,13 +16,13 @@
 
 from halldoor.core.targets.changes import MemberRecord, TargetStart
 
-HOLD_S = 30.0
+WITHDRAWAL_NOTICE_S = 30.0
 """Time after which a notice expires if the own view never reaches its revision, in seconds."""
-WITHDRAWN_MOST = 16
+WITHDRAWN_MAX = 16
 """Most targets in one notice, so that it fits a datagram."""
-ERA_LENGTH = 64
+ERA_LENGTH_MAX = 64
 """Longest name of an era, which is a copy of the store, in a notice, in characters."""
-HOLDS_MOST = 2000
+NOTICES_MAX = 2000
 """Number of stored notices from which notices of unknown targets are dropped."""
 NEAR_PEERS = 4
 """Entries of the own region that a notice is sent to at a time."""
@@ -79,12 +79,12 @@
     @property
     def is_valid(self) -> bool:
         """Whether age, sizes and revision are in their ranges."""
-        is_dated = math.isfinite(self.age_s) and 0 <= self.age_s < HOLD_S
-        is_sized = len(self.view.era) <= ERA_LENGTH and len(self.withdrawn) <= WITHDRAWN_MOST
+        is_dated = math.isfinite(self.age_s) and 0 <= self.age_s < WITHDRAWAL_NOTICE_S
+        is_sized = len(self.view.era) <= ERA_LENGTH_MAX and len(self.withdrawn) <= WITHDRAWN_MAX
         return is_dated and is_sized and self.view.revision >= 0
 
 
-class _Hold(NamedTuple):
+class _HeldNotice(NamedTuple):
     """The store view of a notice, and its expiry.
 
     Attributes
@@ -101,31 +101,31 @@
     """Targets that are withdrawn only by notices of other entries."""
 
     def __init__(self) -> None:
-        self._holds: dict[TargetStart, _Hold] = {}
+        self._notices: dict[TargetStart, _HeldNotice] = {}
 
     def __len__(self) -> int:
         """Return the number of notices in force."""
-        return len(self._holds)
+        return len(self._notices)
 
     def add(self, start: TargetStart, view: StoreView, *, until: float) -> None:
         """Add a notice of a target's start, unless the known one is of as late a view."""
-        known = self._holds.get(start)
+        known = self._notices.get(start)
         if known is None or not known.view.has_reached(view):
-            self._holds[start] = _Hold(view, until)
+            self._notices[start] = _HeldNotice(view, until)
 
     def has(self, start: TargetStart) -> bool:
         """Check whether a notice of a target's start is in force."""
-        return start in self._holds
+        return start in self._notices
 
     def release(self, own: StoreView, now: float) -> list[TargetStart]:
         """Drop and return the targets whose notices expired or were reached by the own view."""
         released = [
             start
-            for start, hold in self._holds.items()
+            for start, hold in self._notices.items()
             if hold.until <= now or own.has_reached(hold.view) or hold.view.is_outdated_by(own)
         ]
         for start in released:
-            del self._holds[start]
+            del self._notices[start]
         return released
 
 
@@ -143,5 +143,5 @@
         return others
     near = [m for m in others if m.region == own.region]
     chosen = random.sample(near, min(NEAR_PEERS, len(near)))
-    rest = [m for m in others if m not in chosen]
-    return chosen + random.sample(rest, min(FAR_PEERS, len(rest)))
+    remaining = [m for m in others if m not in chosen]
+    return chosen + random.sample(remaining, min(FAR_PEERS, len(remaining)))
--- a/halldoor/gateway/access.py
+++ b/halldoor/gateway/access.py
@@ -85,7 +85,7 @@
             find(head.headers, self._names.credentials),
             gate=self.gate,
             now=now,
-            age_s=now - self._catalog.fresh_at,
+            age_s=now - self._catalog.store_contact_at,
             entries=self._catalog.count_sharers(now),
             settings=self.settings,
         )
--- a/halldoor/gateway/coldstate.py
+++ b/halldoor/gateway/coldstate.py
@@ -113,13 +113,13 @@
                 target=notice.target,
                 cold_left_s=notice.cold_left_s,
                 source=source,
-                store_age_ms=round((now - self._catalog.fresh_at) * 1000),
+                store_age_ms=round((now - self._catalog.store_contact_at) * 1000),
             )
 
     def _check_targets(self, now: float) -> None:
         """Start a check of each target that is due, while the store is out of reach."""
         self._checks = {name: task for name, task in self._checks.items() if not task.done()}
-        if now - self._catalog.informed_at <= self._contact_limit_s:
+        if now - self._catalog.last_update_at <= self._contact_limit_s:
             return
         for target in self._list_due(now):
             if len(self._checks) >= CHECKS_MOST:
@@ -134,7 +134,7 @@
             target = self._catalog.find_target(name)
             if target is None or target.is_cold(now) or name in self._checks:
                 continue
-            if self._chooser.find_rest([target], now) > 0:
+            if self._chooser.find_backoff([target], now) > 0:
                 continue
             known_at = max(target.stated_at, self._checked_at.get(name, 0.0))
             if now - known_at >= CHECK_S * self._random.uniform(1.0, 1.0 + CHECK_SPREAD):
--- a/halldoor/gateway/exchanges.py
+++ b/halldoor/gateway/exchanges.py
@@ -67,7 +67,7 @@
         )
         self.limits = LimitExchange(catalog, chooser.limits, sender, port, log=log, metrics=metrics)
         self.leaving = LeavingExchange(catalog, sender, port, log=log, metrics=metrics)
-        rests = RestReader(chooser.rests, log=log, metrics=metrics)
+        rests = RestReader(chooser.backoffs, log=log, metrics=metrics)
         feedback.on_statement.append(self.limits.apply_statement)
         feedback.on_any_statement += [self.leaving.apply_statement, rests.apply_statement]
 
--- a/halldoor/gateway/flows.py
+++ b/halldoor/gateway/flows.py
@@ -57,7 +57,7 @@
             after=move.after,
             reason=move.reason.value,
             version=self._catalog.configuration_version,
-            store_age_ms=round((now - self._catalog.fresh_at) * 1000),
+            store_age_ms=round((now - self._catalog.store_contact_at) * 1000),
         )
 
     def _find_reason(self, route: Route, region: str, place: int, *, is_retry: bool) -> RunReason:
--- a/halldoor/gateway/following.py
+++ b/halldoor/gateway/following.py
@@ -63,7 +63,7 @@
     def note_change(self, change: Change) -> None:
         """Notify the components that a change concerns."""
         match change:
-            case TargetSeen(record) if self._catalog.take_restart(record.incarnation):
+            case TargetSeen(record) if self._catalog.pop_restart(record.incarnation):
                 self._note_gone(record.incarnation)
             case TargetGone(incarnation) if self._catalog.find_target(incarnation) is None:
                 self._note_gone(incarnation)
--- a/halldoor/gateway/handover.py
+++ b/halldoor/gateway/handover.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from halldoor.core.targets.relay import Batch, WantedEra, date_poll
+from halldoor.core.targets.relay import Batch, WantedEra, compute_poll_proof
 from halldoor.gateway.httpclient import HttpCallError, HttpClient
 from halldoor.gateway.store import StoredItem
 
@@ -122,7 +122,7 @@
 
     def meets(self, wanted: WantedEra) -> bool:
         """Check whether these are records of the copy of the store that is asked for."""
-        return self._revision is not None and wanted.is_met_by(self.era)
+        return self._revision is not None and wanted.is_satisfied_by(self.era)
 
     def encode(self, age_s: float, *, is_packed: bool) -> bytes:
         """Encode the answer with all records; call it only after a full read."""
@@ -165,9 +165,9 @@
         items = _decode_items(handed.items)
     except (msgspec.DecodeError, zlib.error) as exc:
         raise ReaderLostError(f"its answer can't be read: {exc}") from exc
-    if not wanted.is_met_by(handed.era):
+    if not wanted.is_satisfied_by(handed.era):
         raise ReaderLostError(f"its records are of copy {handed.era!r} of the store")
-    proven_at = date_poll(sent_at=sent_at, held_s=0.0, age_s=handed.age_s)
+    proven_at = compute_poll_proof(sent_at=sent_at, held_s=0.0, age_s=handed.age_s)
     return Whole(items, handed.revision, handed.era, proven_at)
 
 
--- a/halldoor/gateway/leaving.py
+++ b/halldoor/gateway/leaving.py
@@ -10,7 +10,7 @@
 
 from halldoor.core.settings import Address
 from halldoor.core.targets.catalog import Catalog
-from halldoor.core.targets.leaving import HEARSAY_S, LeavingNotice
+from halldoor.core.targets.leaving import LEAVING_NOTICE_S, LeavingNotice
 from halldoor.core.targets.statement import SEPARATOR, TargetStatement
 from halldoor.core.targets.target import Target
 from halldoor.gateway.datagrams import DatagramPort, MessageKind
@@ -105,13 +105,13 @@
         """Apply the notices of another entry, and relay those that are new here."""
         now = asyncio.get_running_loop().time()
         for notice in notices:
-            if not notice.is_valid or notice.age_s >= HEARSAY_S:
+            if not notice.is_valid or notice.age_s >= LEAVING_NOTICE_S:
                 continue
             target = self._catalog.find_target(notice.target)
             if target is None or target.record.started_ms != notice.started_ms:
                 continue
             said_at = now - notice.age_s
-            until = said_at + HEARSAY_S
+            until = said_at + LEAVING_NOTICE_S
             if self._catalog.add_leaving(target.name, notice.started_ms, until=until):
                 self._note_news(target.name, notice.started_ms, said_at, now, source=str(sender))
 
--- a/halldoor/gateway/limits.py
+++ b/halldoor/gateway/limits.py
@@ -56,7 +56,7 @@
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
         """Apply the limit in a target's answer, or its absence, and queue a notice of it."""
         value = statement.limit
-        if not value and not self._limits.names_limit(target.name):
+        if not value and not self._limits.has_limit(target.name):
             return  # Most answers have no limit.
         try:
             limit_per_s = parse_limit(value)
--- a/halldoor/gateway/maintenance.py
+++ b/halldoor/gateway/maintenance.py
@@ -73,7 +73,7 @@
                 self._woke_at = now
                 self._on_stall()
             self._ticked_at = now
-            self._catalog.contact.tick(now)
+            self._catalog.contact.record_tick(now)
             self._drop_lapsed(now)
             tick += 1
             if tick % SWEEP_TICKS == 0:
--- a/halldoor/gateway/metrics.py
+++ b/halldoor/gateway/metrics.py
@@ -6,7 +6,7 @@
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
-from halldoor.core.targets.choice import TargetOut
+from halldoor.core.targets.choice import ExcludedTarget
 
 BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 3.0, 5.0, 10.0]
 """Upper bounds of histogram buckets, in seconds: from a nearby read to the longest deadline."""
@@ -205,7 +205,7 @@
         """Set the gauge ``halldoor_state`` for a name."""
         self._gauges.set({"name": name}, value)
 
-    def set_targets_out(self, targets: Iterable[TargetOut]) -> None:
+    def set_targets_out(self, targets: Iterable[ExcludedTarget]) -> None:
         """Replace the targets in the gauge of those that receive no or few requests."""
         self.registry.deregister(self._targets_out.name)
         self._targets_out = self._build_targets_out()
--- a/halldoor/gateway/pages.py
+++ b/halldoor/gateway/pages.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from halldoor.core.targets.changes import MemberRecord
-from halldoor.core.targets.choice import TargetOut
+from halldoor.core.targets.choice import ExcludedTarget
 from halldoor.gateway.caller import Answer, CallerConnection, Head
 from halldoor.gateway.lookup import LookupFormat, choose_entries
 from halldoor.gateway.metrics import GatewayMetrics
@@ -44,12 +44,12 @@
     ----------
     gauges : dict of str to float
         Current values, by metric name.
-    targets_out : iterable of TargetOut
+    targets_out : iterable of ExcludedTarget
         Targets that get no requests, or only a few, with the reason.
     """
 
     gauges: dict[str, float]
-    targets_out: Iterable[TargetOut]
+    targets_out: Iterable[ExcludedTarget]
 
 
 class Pages:
--- a/halldoor/gateway/polls.py
+++ b/halldoor/gateway/polls.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from halldoor.core.targets.contact import ContactReport, StoreContact, date_report
-from halldoor.core.targets.relay import Batch, date_poll
+from halldoor.core.targets.contact import ContactReport, StoreContact, compute_contact_span
+from halldoor.core.targets.relay import Batch, compute_poll_proof
 from halldoor.gateway.handover import ReaderLostError, ReaderSilentError
 from halldoor.gateway.httpclient import HttpCallError, HttpClient
 from halldoor.gateway.store import Events, StoredItem
@@ -164,12 +164,14 @@
         raise ReaderLostError(f"its answer can't be read: {exc}") from exc
     if changes is not None and changes.contact is not None:
         now = asyncio.get_running_loop().time()
-        span = date_report(changes.contact, sent_at=sent_at, held_s=changes.held_s, received_at=now)
-        contact.note_span(span, now)
+        span = compute_contact_span(
+            changes.contact, sent_at=sent_at, held_s=changes.held_s, received_at=now
+        )
+        contact.record_span(span, now)
     if answer.status == OTHER_ERA:
         raise OtherEraError
     if not isinstance(changes, RelayedChanges):
         raise ReaderLostError(f"it answered {answer.status}")
-    proven_at = date_poll(sent_at=sent_at, held_s=changes.held_s, age_s=changes.age_s)
+    proven_at = compute_poll_proof(sent_at=sent_at, held_s=changes.held_s, age_s=changes.age_s)
     events = Events(changes.items, changes.revision)
     return Update(events, proven_at, is_relayed=True, is_difference=changes.is_difference)
--- a/halldoor/gateway/process.py
+++ b/halldoor/gateway/process.py
@@ -270,16 +270,16 @@
             "connections_opened": self.pool.opened,
             "connections_kept": self.pool.count_idle(),
             "configuration_version": self.catalog.configuration_version,
-            "store_age_seconds": now - self.catalog.fresh_at,
+            "store_age_seconds": now - self.catalog.store_contact_at,
             "store_era": self.sync.era_number,
             **self.quarantine.get_figures(),
         }
-        return GatewayFigures(gauges, self.chooser.list_out(now))
+        return GatewayFigures(gauges, self.chooser.list_excluded(now))
 
     async def start(self) -> None:
         """Open the ports and start every task."""
         settings = self.settings
-        self.chooser.begin(asyncio.get_running_loop().time())
+        self.chooser.start(asyncio.get_running_loop().time())
         self._front = await listen(
             settings.front.ip,
             settings.front.port,
@@ -386,7 +386,7 @@
 
     def _note_contact(self) -> None:
         """Record that the store answered."""
-        self.catalog.note_answer(asyncio.get_running_loop().time())
+        self.catalog.record_answer(asyncio.get_running_loop().time())
 
     def _note_change(self, change: Change) -> None:
         """Dispatch a change of the catalog to the other components."""
--- a/halldoor/gateway/relay.py
+++ b/halldoor/gateway/relay.py
@@ -24,8 +24,8 @@
     WantedEra,
     choose_reader,
     choose_readers,
-    date_watch,
-    find_slot_s,
+    compute_watch_proof,
+    find_watch_slot_wait,
 )
 from halldoor.gateway.caller import Answer, CallerConnection, Head
 from halldoor.gateway.eventlog import EventLog
@@ -125,7 +125,7 @@
     @property
     def has_contact(self) -> bool:
         """Whether the store answered this entry or its reader within the contact limit."""
-        return _now() - self._catalog.fresh_at <= self.settings.contact_limit_s
+        return _now() - self._catalog.store_contact_at <= self.settings.contact_limit_s
 
     @property
     def is_direct(self) -> bool:
@@ -163,7 +163,7 @@
             return
         pause_s = self.settings.pause_s
         if not self._is_reader:
-            pause_s = find_slot_s(_now(), period_s=self.batch_s, phase=self._phase)
+            pause_s = find_watch_slot_wait(_now(), period_s=self.batch_s, phase=self._phase)
         try:
             async with asyncio.timeout(pause_s):
                 await self._hurried.wait()
@@ -215,7 +215,7 @@
         events = await self._watch_in_contact(revision, wait_s)
         self._is_resumed = True
         self._metrics.add_store_call("watch", "events" if events.items else "quiet")
-        proven_at = date_watch(
+        proven_at = compute_watch_proof(
             sent_at=sent_at,
             wait_s=wait_s,
             returned_at=_now(),
@@ -355,7 +355,7 @@
         if poll.needs_contact and not self.has_contact:
             caller.send(Answer(503, []))
             return
-        if poll.era == self._records.era and not self._history.has_news(poll.after):
+        if poll.era == self._records.era and not self._history.has_changes_after(poll.after):
             await self._wait_for_news(poll.wait_s)
         batch = self._history.collect(poll.after)
         now = _now()
--- a/halldoor/gateway/request.py
+++ b/halldoor/gateway/request.py
@@ -185,7 +185,7 @@
                     str(choice), room_after_s=choice.room_after_s, is_asked=choice.is_asked
                 )
             target = choice.target
-            with self._chooser.count(target.name):
+            with self._chooser.count_in_flight(target.name):
                 outcome = await self._attempt(state, outgoing, choice)
                 if isinstance(outcome, PartialAnswer):
                     return await self._stream(caller, state, outgoing, outcome, target)
@@ -197,7 +197,7 @@
             if obstacle is not None:
                 if isinstance(outcome, WholeAnswer):
                     return self._deliver(caller, state, outcome.answer, target)
-                rest_s = self._chooser.find_rest(self._catalog.list_usable(state.service), now)
+                rest_s = self._chooser.find_backoff(self._catalog.list_usable(state.service), now)
                 return state.build_last_failure(obstacle, rest_s=rest_s)
 
     def _find_obstacle(
@@ -264,21 +264,21 @@
     def _view(self, choice: Choice, key: str, now: float) -> TargetView:
         """Return this entry's current data on a target, for the log."""
         target = choice.target
-        age_s = self._loads.age(target.name, now)
+        age_s = self._loads.get_report_age(target.name, now)
         return TargetView(
             # The count already includes this request.
             in_flight=self._chooser.in_flight[target.name] - 1,
             others=round(self._loads.estimate_others(target.name, now), 1),
             load=round(self._loads.get_load(target.name), 2),
             load_age_ms=None if age_s is None else round(age_s * 1000),
-            load_old_ms=round(self._loads.get_old_s(target.name) * 1000),
+            load_old_ms=round(self._loads.get_stale_after_s(target.name) * 1000),
             pressure=round(self._loads.get_pressure(target.name), 2),
             is_cold=target.is_cold(now),
             limit_per_s=self._chooser.limits.get_limit(target.name, now),
-            state_age_ms=round((now - max(self._catalog.informed_at, target.stated_at)) * 1000),
+            state_age_ms=round((now - max(self._catalog.last_update_at, target.stated_at)) * 1000),
             distance=self._chooser.orders.find_distance(target),
             place=choice.place,
-            has_sent_key=self._latency.has_sent(target.name, key),
+            has_sent_key=self._latency.has_answered(target.name, key),
             expected_ms=round(choice.estimate.time_s * 1000),
             expected_wait_ms=round(choice.estimate.wait_s * 1000),
         )
@@ -379,7 +379,7 @@
     def _get_store_age_ms(self) -> int:
         """Return the time since the last contact with the store, in milliseconds."""
         now = asyncio.get_running_loop().time()
-        return round((now - self._catalog.fresh_at) * 1000)
+        return round((now - self._catalog.store_contact_at) * 1000)
 
 
 def _is_worth_retry(state: RequestState, outcome: WholeAnswer) -> bool:
--- a/halldoor/gateway/rests.py
+++ b/halldoor/gateway/rests.py
@@ -4,7 +4,7 @@
 
 import time
 
-from halldoor.core.targets.rests import REST_MOST_S, RestTable, parse_rest
+from halldoor.core.targets.rests import BACKOFF_MAX_S, BackoffTable, parse_backoff
 from halldoor.core.targets.statement import TargetStatement
 from halldoor.core.targets.target import Target
 from halldoor.gateway.eventlog import EventLog
@@ -21,11 +21,11 @@
 
     Parameters
     ----------
-    rests : RestTable
+    rests : BackoffTable
         Table of current rests, to update.
     """
 
-    def __init__(self, rests: RestTable, *, log: EventLog, metrics: GatewayMetrics) -> None:
+    def __init__(self, rests: BackoffTable, *, log: EventLog, metrics: GatewayMetrics) -> None:
         self._rests = rests
         self._log = log
         self._metrics = metrics
@@ -34,17 +34,17 @@
         """Start a rest if the answer requests one; record a successful answer otherwise."""
         if statement.status not in REJECTIONS:
             if statement.status < SERVER_ERROR:
-                self._rests.add_sound(target.start, now)
+                self._rests.add_success(target.start, now)
             return
         if not statement.retry_after:
             return
         try:
-            rest_s = parse_rest(statement.retry_after, time.time())
+            rest_s = parse_backoff(statement.retry_after, time.time())
         except (ValueError, OverflowError) as exc:
             self._add_bad(target, str(exc))
             return
-        if rest_s > REST_MOST_S:
-            self._add_bad(target, f"{rest_s:.0f} s of rest, {REST_MOST_S:.0f} at most")
+        if rest_s > BACKOFF_MAX_S:
+            self._add_bad(target, f"{rest_s:.0f} s of rest, {BACKOFF_MAX_S:.0f} at most")
         if rest_s > 0 and self._rests.add(target.start, rest_s, now):
             self._log.event(
                 "targets", "A target requested a rest.", target=target.name, rest_s=rest_s
--- a/halldoor/gateway/storenotices.py
+++ b/halldoor/gateway/storenotices.py
@@ -22,8 +22,8 @@
     TargetStart,
 )
 from halldoor.core.targets.withdrawal import (
-    HOLD_S,
-    WITHDRAWN_MOST,
+    WITHDRAWAL_NOTICE_S,
+    WITHDRAWN_MAX,
     StoreNotice,
     StoreView,
     choose_peers,
@@ -130,7 +130,7 @@
             # Other entries already hold all that an entry reads when it starts.
             self._has_read, self._newest = True, view
             return
-        for start in self._catalog.take_withdrawn():
+        for start in self._catalog.pop_withdrawn():
             self._add(start, view, learned_at=now)
         is_news = any(isinstance(c, RoutingSeen | EvacuationSet) for c in changes)
         if is_news and not self._newest.has_reached(view):
@@ -139,7 +139,7 @@
 
     def _release(self, now: float) -> None:
         """Return withdrawn targets to use where the withdrawal no longer holds."""
-        for start in self._catalog.release_withdrawn(self._get_view(), now):
+        for start in self._catalog.release_reached_withdrawals(self._get_view(), now):
             self._log.event("targets", "Withdrawal revoked.", target=start.target)
 
     def _add(self, start: TargetStart | None, view: StoreView, *, learned_at: float) -> None:
@@ -190,7 +190,7 @@
         if own.has_reached(view):
             return
         for start in notice.withdrawn:
-            if not self._catalog.withdraw(start, view, until=now + HOLD_S):
+            if not self._catalog.withdraw(start, view, until=now + WITHDRAWAL_NOTICE_S):
                 continue
             self._add(start, view, learned_at=now - notice.age_s)
             self._log.event(
@@ -254,8 +254,8 @@
         if len(targets) < len(starts):
             # A separate notice: receivers can't apply a configuration, so each reads the store now.
             yield StoreNotice(view, age_s, [])
-        for first in range(0, len(targets), WITHDRAWN_MOST):
-            yield StoreNotice(view, age_s, targets[first : first + WITHDRAWN_MOST])
+        for first in range(0, len(targets), WITHDRAWN_MAX):
+            yield StoreNotice(view, age_s, targets[first : first + WITHDRAWN_MAX])
 
 
 def _now() -> float:
--- a/halldoor/gateway/sync.py
+++ b/halldoor/gateway/sync.py
@@ -121,7 +121,7 @@
             except HistoryGoneError:
                 self._metrics.add_store_call("watch", "history gone")
                 self._log.event("store", "Its history is gone; reading all again.")
-                self._catalog.contact.note_answer(asyncio.get_running_loop().time())
+                self._catalog.contact.record_answer(asyncio.get_running_loop().time())
                 self._revision = None
                 self._backoff.reset()
                 await asyncio.sleep(self._backoff.draw_spread_s())
@@ -168,7 +168,7 @@
         is_restored = self.is_loaded.is_set() and before != whole.era
         now = self._note_contact(whole.proven_at)
         changes = [c for c in map(self._decode, whole.items) if c is not None]
-        applied = self._catalog.load(changes, now, is_restored=is_restored)
+        applied = self._catalog.apply_full_read(changes, now, is_restored=is_restored)
         if is_restored:
             self._log_era(before, whole)
         self._store.era = self._era = whole.era
@@ -180,7 +180,7 @@
         self._log_reading(applied, whole.revision)
         for change in applied:
             self._on_change(change)
-        self._catalog.contact.note_known(whole.proven_at)
+        self._catalog.contact.record_applied_until(whole.proven_at)
         self._announce(applied, StoreView(whole.era, max(whole.revision, whole.newest)))
 
     def _log_reading(self, applied: Sequence[Change], revision: int) -> None:
@@ -234,7 +234,7 @@
         """
         self._backoff.reset()
         now = asyncio.get_running_loop().time()
-        self._catalog.contact.note_answer(now)
+        self._catalog.contact.record_answer(now)
         if not self.is_loaded.is_set() or era != self._era:
             return
         applied = []
@@ -262,7 +262,7 @@
             self._watching = None
             task.cancel()
         if not update.is_relayed:
-            self._catalog.contact.note_answer(asyncio.get_running_loop().time())
+            self._catalog.contact.record_answer(asyncio.get_running_loop().time())
         if self._store.era != self._era or self._revision is None:
             return  # The revision belongs to another copy, or a full read was requested.
         events = update.events
@@ -278,7 +278,7 @@
                 self._log_change(change, events.revision)
                 self._on_change(change)
         # The store's own answer includes all removals up to its return, whenever it was sent.
-        self._catalog.contact.note_known(update.proven_at if update.is_relayed else now)
+        self._catalog.contact.record_applied_until(update.proven_at if update.is_relayed else now)
         self._revision = self._last_revision = events.revision
         self._feed.take(revision, update)
         self._announce(applied, self.view)
@@ -304,7 +304,7 @@
     def _note_contact(self, heard_at: float) -> float:
         """Record contact with the store up to a moment, and return the time of the loop's clock."""
         now = asyncio.get_running_loop().time()
-        self._catalog.note_contact(heard_at)
+        self._catalog.record_contact(heard_at)
         if self._is_away:
             self._log.event("store", "Contact is restored.", store_away_ms=self._away_ms)
         self._is_away = self.is_confirming = False
@@ -313,15 +313,15 @@
     def _note_substitute(self, update: Update) -> float:
         """Record that another entry relayed changes; the store itself is still out of reach."""
         now = asyncio.get_running_loop().time()
-        self._catalog.note_contact(update.proven_at)
-        self._catalog.note_relay(now)
+        self._catalog.record_contact(update.proven_at)
+        self._catalog.record_relay(now)
         return now
 
     @property
     def _away_ms(self) -> int:
         """How long the store has been out of reach, as far as known here, in milliseconds."""
         now = asyncio.get_running_loop().time()
-        return round(self._catalog.contact.find_absence(now).length_s * 1000)
+        return round(self._catalog.contact.find_outage(now).length_s * 1000)
 
     def _note_away(self, exc: StoreError) -> None:
         """Record that the store did not answer; the cached state is used meanwhile."""
--- a/halldoor/standins/modelentry.py
+++ b/halldoor/standins/modelentry.py
@@ -180,7 +180,7 @@
             log=log,
             metrics=metrics,
             is_loaded=self.sync.is_loaded,
-            on_contact=lambda: self.catalog.note_answer(asyncio.get_running_loop().time()),
+            on_contact=lambda: self.catalog.record_answer(asyncio.get_running_loop().time()),
             on_return=self.sync.restart,
         )
         self.maintenance = Maintenance(
--- a/halldoor/standins/ratefleet.py
+++ b/halldoor/standins/ratefleet.py
@@ -223,7 +223,7 @@
         members = tuple(self.list_sharers(now, entry))
         if members not in self._orders:
             self._orders[members] = rank(TARGET, members)
-        return self._shares[entry].take(
+        return self._shares[entry].reserve_request(
             TARGET,
             now,
             limit=self.run.bound.share,
@@ -288,7 +288,7 @@
     def _grant(self, now: float, home: int, entry: int) -> None:
         """Grant a request if the rate allows one more."""
         limit = self.run.bound.share
-        if self._granted[home].take(TARGET, now, limit=limit, entries=1, rank=0):
+        if self._granted[home].reserve_request(TARGET, now, limit=limit, entries=1, rank=0):
             self.run.send(now, home, entry, self._receive)
 
     def _receive(self, now: float, entry: int) -> None:
--- a/halldoor/standins/restways.py
+++ b/halldoor/standins/restways.py
@@ -208,7 +208,7 @@
             limit = int(self.FROM_PER_S * 2**doublings)
             entries = len(self.run.names)
             share, place = self._shares[entry], self._ranks[entry]
-            if not share.has_room(TARGET, now, limit=limit, entries=entries, rank=place):
+            if not share.has_capacity(TARGET, now, limit=limit, entries=entries, rank=place):
                 return False
         return super().may_return(now, entry)
 
--- a/halldoor/tests/choicekit.py
+++ b/halldoor/tests/choicekit.py
@@ -65,12 +65,12 @@
     return catalog
 
 
-def hear_store_return(catalog, at, *, away_s=4.5):
+def record_store_return(catalog, at, *, away_s=4.5):
     """Record the store's first answer after an outage of `away_s` that ends at a given time."""
-    catalog.note_answer(at - away_s)
+    catalog.record_answer(at - away_s)
     for i in range(1, round(away_s / TICK_S)):
-        catalog.contact.tick(at - away_s + i * TICK_S)
-    catalog.note_answer(at)
+        catalog.contact.record_tick(at - away_s + i * TICK_S)
+    catalog.record_answer(at)
 
 
 class ChooserKit(Chooser):
@@ -94,12 +94,12 @@
         choice = super().choose(*request, **options)
         return choice if isinstance(choice, NoTarget) else choice.target
 
-    def report(self, name, running, waiting=0, *, now=1.0, times=1):
+    def report_load(self, name, running, waiting=0, *, now=1.0, times=1):
         """Record a target's load report, repeated so that the average load follows."""
         for _ in range(times):
             self.loads.add(name, LoadReport(running, waiting, 6), now, own=0)
 
-    def learn(self, *, warm_s=0.1, cold_s=0.3, targets=("x",)):
+    def record_work_times(self, *, warm_s=0.1, cold_s=0.3, targets=("x",)):
         """Record answers from which the latency model estimates warm and cold work."""
         for target in targets:
             for i in range(40):
--- a/halldoor/tests/gatewaykit.py
+++ b/halldoor/tests/gatewaykit.py
@@ -81,7 +81,7 @@
             await kit.add_target(f"t{i}")
         await kit.gateway.start()
         try:
-            await kit.wait(lambda: kit.gateway.catalog.fresh_at > 0)
+            await kit.wait(lambda: kit.gateway.catalog.store_contact_at > 0)
             yield kit
         finally:
             with contextlib.suppress(TimeoutError):
--- a/halldoor/tests/test_choice.py
+++ b/halldoor/tests/test_choice.py
@@ -16,12 +16,12 @@
 )
 from halldoor.core.targets.split import Splitter
 from halldoor.tests.choicekit import (
-    hear_store_return,
     make_catalog,
     make_chooser,
     make_route,
     make_routing,
     make_target,
+    record_store_return,
 )
 
 
@@ -34,31 +34,31 @@
             assert chosen is second.choose(make_route(), "deck", key, 1.0)
 
     @pytest.mark.parametrize("choices", [2, 3])
-    def test_overload_never_spreads_a_key_beyond_its_choices(self, choices):
+    def test_overloaded_key_uses_at_most_spill_choices_targets(self, choices):
         """Regression: under overload keys were sent to all targets, so that none was warm."""
         catalog = make_catalog(10)
         chooser = make_chooser(catalog, spill_choices=choices)
         for i in range(10):
             # The average load is high, but one slot is free.
-            chooser.report(f"t{i}", 5, times=30)
+            chooser.report_load(f"t{i}", 5, times=30)
         used = set()
         while not isinstance(target := chooser.choose(make_route(), "deck", "k", 1.0), NoTarget):
             used.add(target.name)
             chooser.in_flight[target.name] += 1
         assert len(used) == choices
 
-    def test_a_key_hotter_than_its_targets_goes_on_to_idle_ones(self):
+    def test_key_too_busy_for_its_targets_uses_idle_ones(self):
         """Refusing the key's requests would leave most of the service idle."""
         chooser = make_chooser(make_catalog(10))
         for i in range(10):
-            chooser.report(f"t{i}", 1)
+            chooser.report_load(f"t{i}", 1)
         used = set()
         while not isinstance(target := chooser.choose(make_route(), "deck", "k", 1.0), NoTarget):
             used.add(target.name)
             chooser.in_flight[target.name] += 1
         assert len(used) == 10
 
-    def test_a_target_that_leaves_moves_only_its_own_keys(self):
+    def test_removed_target_moves_only_its_own_keys(self):
         catalog = make_catalog(6)
         chooser = make_chooser(catalog)
         keys = [str(i) for i in range(60)]
@@ -69,7 +69,7 @@
 
 
 class TestBounds:
-    def test_shares_of_all_entries_add_up_to_the_bound(self):
+    def test_shares_of_all_entries_add_up_to_load_factor(self):
         members = tuple(f"e{i}" for i in range(5))
         catalog = make_catalog(1, members=members)
         total = 0
@@ -80,17 +80,17 @@
             total += chooser.in_flight["t0"]
         assert total == 12
 
-    def test_a_large_fleet_ranks_no_entries_to_bound_unknown_targets(self, monkeypatch):
+    def test_large_fleet_does_not_rank_entries_for_unreported_targets(self, monkeypatch):
         """Regression: in a fleet of 195 the ranking took half of an entry's processor time."""
         chooser = make_chooser(make_catalog(20, members=[f"e{i}" for i in range(100)]))
         monkeypatch.setattr(chooser._ranks, "get_rank", None)
         for key in map(str, range(20)):
             assert not isinstance(chooser.choose(make_route(), "deck", key, 1.0), NoTarget)
 
-    def test_a_busy_target_is_passed_over_while_another_has_room(self):
+    def test_full_target_is_passed_over_while_another_has_a_free_slot(self):
         chooser = make_chooser(make_catalog(4))
         usual = chooser.choose(make_route(), "deck", "k", 1.0)
-        chooser.report(usual.name, 6, 4)
+        chooser.report_load(usual.name, 6, 4)
         assert chooser.choose(make_route(), "deck", "k", 1.1) is not usual
         assert chooser.choose(make_route(), "deck", "k", 3.0) is usual
 
@@ -98,13 +98,13 @@
         ("kind", "least", "most"),
         [(RequestKind.UPLOAD, 140, 200), (RequestKind.REPEATABLE, 140, 200)],
     )
-    def test_requests_prefer_the_own_region_but_do_not_fill_it(self, kind, least, most):
+    def test_most_but_not_all_requests_stay_in_the_own_region(self, kind, least, most):
         chooser = make_chooser(make_catalog(8))
         route = make_route(kind=kind)
         halls = Counter(chooser.choose(route, "deck", str(i), 1.0).record.hall for i in range(200))
         assert least < halls["ams-a"] < most
 
-    def test_a_region_with_few_targets_is_not_filled_by_its_own_callers(self):
+    def test_region_with_few_targets_sends_requests_to_other_regions(self):
         catalog = make_catalog(0)
         for i in range(20):
             hall = "ams-a" if i < 2 else "grq-a"
@@ -117,10 +117,10 @@
 
         assert 300 / 4 < count_near() < 300 / 2
         for name in ("t0", "t1"):
-            chooser.report(name, 6, 8)
+            chooser.report_load(name, 6, 8)
         assert count_near() < 300 / 5
 
-    def test_homes_are_kept(self):
+    def test_only_home_regions_are_used(self):
         chooser = make_chooser(make_catalog(6))
         for key in map(str, range(30)):
             target = chooser.choose(make_route(home_regions=("grq",)), "deck", key, 1.0)
@@ -130,67 +130,67 @@
 class TestExpectedTime:
     def get_order(self, chooser, key="k"):
         """Return the key's first two targets, after recording the times of work."""
-        chooser.learn()
+        chooser.record_work_times()
         first = chooser.choose(make_route(), "deck", key, 1.0)
         second = chooser.choose(make_route(), "deck", key, 1.0, tried=[first.name])
         return first, second
 
-    def test_a_key_waits_for_its_warm_target_while_it_can_be_in_time(self):
+    def test_key_waits_for_its_warm_target_if_the_answer_is_in_time(self):
         chooser = make_chooser(make_catalog(6))
         first, second = self.get_order(chooser)
-        chooser.report(first.name, 6, 3)
-        chooser.report(second.name, 0)
+        chooser.report_load(first.name, 6, 3)
+        chooser.report_load(second.name, 0)
         assert chooser.choose(make_route(), "deck", "k", 1.0) is first
 
     def test_a_key_goes_to_its_second_target_when_the_first_would_be_late(self):
         chooser = make_chooser(make_catalog(6))
         first, second = self.get_order(chooser)
-        chooser.report(first.name, 6, 8)
-        chooser.report(second.name, 0)
+        chooser.report_load(first.name, 6, 8)
+        chooser.report_load(second.name, 0)
         assert chooser.choose(make_route(), "deck", "k", 1.0) is second
 
-    def test_a_second_target_without_a_free_slot_is_left_to_its_own_keys(self):
+    def test_second_target_without_a_free_slot_is_not_used(self):
         chooser = make_chooser(make_catalog(2), wait_limit=1.0)
         first, second = self.get_order(chooser)
-        chooser.report(first.name, 6, 8)
-        chooser.report(second.name, 6, 1)
+        chooser.report_load(first.name, 6, 8)
+        chooser.report_load(second.name, 6, 1)
         refused = chooser.choose(make_route(), "deck", "k", 1.0)
         assert refused.passed_over == {"late": 1, "busy": 1}
 
-    def test_what_is_refused_is_told_when_its_targets_should_have_room(self):
+    def test_refusal_states_when_a_slot_should_be_free(self):
         """Regression: a caller was told to retry after 0.1 s while the queue took 0.5 s."""
         chooser = make_chooser(make_catalog(2), spare_load=0.0)
-        chooser.learn()
+        chooser.record_work_times()
         for name, waiting in (("t0", 9), ("t1", 13)):
-            chooser.report(name, 6, waiting)
+            chooser.report_load(name, 6, waiting)
         refused = chooser.choose(make_route(), "deck", "k", 1.0)
         assert isinstance(refused, NoTarget)
         mean_s = chooser.latency.get_levels("deck/r1").mean_s
         assert refused.room_after_s == pytest.approx(10 * mean_s / 6, rel=0.2)
 
-    def test_a_second_target_that_had_the_key_is_used_as_soon_as_it_is_sooner(self):
+    def test_second_target_that_is_warm_for_the_key_is_used_if_it_answers_sooner(self):
         chooser = make_chooser(make_catalog(6))
         first, second = self.get_order(chooser)
-        chooser.report(first.name, 6, 3)
-        chooser.report(second.name, 0)
+        chooser.report_load(first.name, 6, 3)
+        chooser.report_load(second.name, 0)
         assert chooser.choose(make_route(), "deck", "k", 1.0) is first
         chooser.latency.add_answer(
             "deck/r1", second.name, "ams-a", "k", took_s=0.1, has_waited=False
         )
         assert chooser.choose(make_route(), "deck", "k", 1.0) is second
 
-    def test_a_route_without_an_aim_waits_up_to_the_bound(self):
+    def test_route_with_a_long_aim_waits_up_to_full_load(self):
         chooser = make_chooser(make_catalog(1), full_load=2.0)
-        chooser.learn()
-        chooser.report("t0", 6, 5)
+        chooser.record_work_times()
+        chooser.report_load("t0", 6, 5)
         route = make_route(aim_s=3600.0)
         assert chooser.choose(route, "deck", "k", 1.0).name == "t0"
-        chooser.report("t0", 6, 6)
+        chooser.report_load("t0", 6, 6)
         assert chooser.choose(route, "deck", "k", 1.0).passed_over == {"full": 1}
 
-    def test_requests_without_a_key_go_where_least_waits_and_nearest_first(self):
+    def test_requests_without_a_key_go_to_the_nearest_target_with_the_least_wait(self):
         chooser = make_chooser(make_catalog(8))
-        chooser.learn()
+        chooser.record_work_times()
         for hall, took_s in (("ams-a", 0.001), ("grq-a", 0.04)):
             chooser.latency.add_connect(hall, took_s)
         counts = Counter()
@@ -204,7 +204,7 @@
 
 
 class TestColdTargets:
-    def test_all_entries_together_stay_below_the_rate(self):
+    def test_all_entries_together_stay_within_a_cold_targets_rate(self):
         members = tuple(f"e{i}" for i in range(12))
         catalog = make_catalog(0, members=members)
         catalog.apply(TargetSeen(make_target("cold", cold_left_s=3.0)), 0.0)
@@ -218,7 +218,7 @@
                     sent[name] += 1
         assert 0 < sum(sent.values()) <= 9 * 1.5 + 5
 
-    def test_targets_of_a_hall_that_is_taken_back_are_treated_as_cold(self):
+    def test_targets_are_treated_as_cold_after_an_evacuation(self):
         catalog = make_catalog(4)
         catalog.apply(EvacuationSet("grq-a", True), 1.0)
         assert all(t.record.hall == "ams-a" for t in catalog.list_usable("deck"))
@@ -228,21 +228,21 @@
 
 
 class TestCatalog:
-    def test_an_older_configuration_is_never_taken_back(self):
+    def test_older_configuration_is_not_applied(self):
         catalog = make_catalog()
         assert catalog.apply(RoutingSeen(make_routing(version=7)), 1.0)
         assert not catalog.apply(RoutingSeen(make_routing(version=5)), 2.0)
         assert catalog.routing.version == 7
 
-    def test_draining_is_believed_for_good(self):
+    def test_draining_target_stays_draining_after_an_older_record(self):
         catalog = make_catalog(2)
         catalog.apply(TargetSeen(make_target("t0", is_draining=True)), 1.0)
         catalog.apply(TargetSeen(make_target("t0")), 2.0)
         assert [t.name for t in catalog.list_usable("deck")] == ["t1"]
 
-    def test_records_that_lapsed_while_the_store_was_away_have_time_to_return(self):
+    def test_targets_whose_records_expired_in_an_outage_are_kept_for_settle_s(self):
         catalog = make_catalog(2)
-        hear_store_return(catalog, 10.0)
+        record_store_return(catalog, 10.0)
         catalog.apply(TargetGone("t0"), 10.0)
         catalog.apply(TargetGone("t1"), 10.0)
         catalog.apply(TargetSeen(make_target("t0")), 11.0)
@@ -250,18 +250,18 @@
         assert catalog.drop_lapsed(12.1) == ["t1"]
         assert [t.name for t in catalog.list_usable("deck")] == ["t0"]
 
-    def test_a_removal_after_the_return_is_meant(self):
+    def test_target_removed_after_an_outage_is_dropped_at_once(self):
         """Regression: an entry sent requests to a removed target for 2 s more (DRAIN)."""
         catalog = make_catalog(2)
-        hear_store_return(catalog, 10.0)
-        catalog.contact.note_known(10.0)
+        record_store_return(catalog, 10.0)
+        catalog.contact.record_applied_until(10.0)
         catalog.apply(TargetGone("t0"), 10.3)
         assert [t.name for t in catalog.list_usable("deck")] == ["t1"]
 
-    def test_what_a_whole_reading_does_not_name_is_gone(self):
+    def test_records_missing_from_a_full_read_are_removed(self):
         catalog = make_catalog(3, members=("e1", "e2"))
         catalog.apply(EvacuationSet("ams-a", True), 1.0)
-        catalog.load([TargetSeen(make_target("t1"))], 5.0)
+        catalog.apply_full_read([TargetSeen(make_target("t1"))], 5.0)
         assert [t.name for t in catalog.list_usable("deck")] == ["t1"]
         assert not catalog.evacuated and not catalog.members
 
@@ -283,15 +283,15 @@
         found = RouteTable(make_routing(routes=(short, long))).find(host, path)
         assert (found.name if found else None) == expected
 
-    def test_split_follows_the_weights_closely(self):
+    def test_split_is_proportional_to_the_weights(self):
         parts = (SplitPart("deck", 90.0), SplitPart("board", 10.0))
         splitter, route = Splitter(), make_route(parts=parts)
         counts = Counter(splitter.choose(route, str(i % 7)) for i in range(200))
         assert abs(counts["board"] - 20) <= 2
 
 
-class TestYoungEntry:
-    def test_an_entry_that_just_started_does_not_take_itself_for_the_only_one(self):
+class TestStartingEntry:
+    def test_starting_entry_assumes_many_entries_share_a_rate(self):
         """After a restart of all entries, each knows few others and must not use the whole rate."""
         catalog = make_catalog(0)
         catalog.apply(TargetSeen(make_target("cold", cold_left_s=20.0)), 0.0)
@@ -306,8 +306,8 @@
         assert count_sent(10.0) > 1
 
 
-class TestDoubt:
-    def test_ejection_never_takes_most_of_a_service(self):
+class TestEjectedTargets:
+    def test_ejected_targets_are_used_if_they_exceed_ejected_share(self):
         catalog = make_catalog(4)
         chooser = make_chooser(catalog, ejected_share=0.5)
         for name in ("t0", "t1", "t2"):
@@ -333,20 +333,20 @@
         """
         catalog = make_catalog(6)
         chooser = make_chooser(catalog)
-        chooser.learn()
+        chooser.record_work_times()
         for target in list(catalog.list_targets()):
             hall = target.record.hall
             if hall == "ams-a":
                 record = make_target(target.name, hall=hall, cold_left_s=30.0)
                 catalog.apply(TargetSeen(record), 1.0)
             else:
-                chooser.report(target.name, load)
+                chooser.report_load(target.name, load)
         for i in range(300):
             chooser.choose(make_route(), "deck", str(i), 1.0)
         return chooser
 
     @pytest.mark.parametrize(("load", "is_taken"), [(2, True), (7, False)])
-    def test_what_the_own_region_cannot_take_goes_far_only_where_there_is_a_free_slot(
+    def test_overflow_of_the_own_region_goes_to_far_targets_only_with_a_free_slot(
         self, load, is_taken
     ):
         """Regression: such requests waited at far targets as if those were the keys' first ones.
@@ -356,12 +356,12 @@
         region's overflow uses only free slots, it is 295 and 383.
         """
         chooser = self.make(load=load)
-        near = [k for k in map(str, range(300)) if self.stands_near(chooser, k)]
+        near = [k for k in map(str, range(300)) if self.has_near_first_target(chooser, k)]
         chosen = [chooser.choose(make_route(), "deck", key, 1.0) for key in near]
         assert len(chosen) > 50
         assert all(isinstance(choice, NoTarget) is not is_taken for choice in chosen)
 
-    def stands_near(self, chooser, key):
+    def has_near_first_target(self, chooser, key):
         settings = OrderSettings(1.4, 0.9)
         first = chooser.orders.get_order(make_route(), "deck", key, 1.0, settings=settings)[0]
         return first.record.hall == "ams-a"
--- a/halldoor/tests/test_fleet.py
+++ b/halldoor/tests/test_fleet.py
@@ -11,8 +11,8 @@
 import pytest
 
 from halldoor.cli.fleet import (
+    ExcludedTarget,
     GatewayView,
-    TargetOut,
     count_since,
     describe_fleet,
     fetch_fleet,
@@ -59,7 +59,7 @@
         assert told == "2 requests under which targets end, blocked by 2 of 3 gateways"
 
     def test_what_stands_out_is_told_first(self):
-        out = TargetOut("t1", "deck", "ejected")
+        out = ExcludedTarget("t1", "deck", "ejected")
         views = [
             GatewayView("a:1", version=7, watches_store=True, running=3, targets_out=(out,)),
             GatewayView("b:1", version=6, store_age_s=9.0, targets_out=(out,)),
--- a/halldoor/tests/test_handover.py
+++ b/halldoor/tests/test_handover.py
@@ -232,14 +232,14 @@
 class TestWantedEra:
     @given(newest=ERAS, left=st.none() | ERAS, era=ERAS)
     def test_what_was_left_is_never_taken_nor_what_is_older(self, newest, left, era):
-        if WantedEra(newest, left).is_met_by(era):
+        if WantedEra(newest, left).is_satisfied_by(era):
             assert era != left
             assert era == newest or int(era) > int(newest)
 
     def test_a_newer_copy_than_known_is_taken(self):
-        assert WantedEra("3", "3").is_met_by("4")
-        assert not WantedEra("3", "3").is_met_by("3")
-        assert not WantedEra("3").is_met_by("4")
+        assert WantedEra("3", "3").is_satisfied_by("4")
+        assert not WantedEra("3", "3").is_satisfied_by("3")
+        assert not WantedEra("3").is_satisfied_by("4")
 
 
 @settings(max_examples=8)
--- a/halldoor/tests/test_latency.py
+++ b/halldoor/tests/test_latency.py
@@ -6,19 +6,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from halldoor.core.targets.latency import PAIRS_KEPT, LatencyModel
+from halldoor.core.targets.latency import KEY_PAIRS_KEPT, LatencyModel
 from halldoor.core.targets.load import (
-    HABIT_LEAST_S,
-    NEWS_LEAST_S,
-    NEWS_WORKS,
-    Fade,
+    AVERAGE_DECAY_MIN_S,
+    REPORT_DECAY_MIN_S,
+    REPORT_DECAY_WORKS,
+    DecayTimes,
     LoadReport,
     LoadTable,
 )
 
 
 class TestLatencyModel:
-    def test_warm_and_cold_work_are_told_apart(self):
+    def test_warm_and_cold_work_are_estimated_separately(self):
         """Other entries have warmed most new keys; only a few answers show the cold work."""
         model = LatencyModel()
         for i in range(60):
@@ -31,63 +31,65 @@
         assert levels.cold_s == pytest.approx(0.36, abs=0.01)
         assert levels.warm_s < levels.mean_s < levels.cold_s
 
-    def test_time_on_the_way_is_not_work(self):
+    def test_travel_time_is_not_counted_as_work(self):
         model = LatencyModel()
         model.add_connect("far", 0.04)
         model.add_answer("s/r", "t", "far", "k", took_s=0.14, has_waited=False)
         assert model.get_levels("s/r").warm_s == pytest.approx(0.1)
 
-    def test_answers_that_waited_say_nothing_of_work(self):
+    def test_answers_that_waited_are_not_counted_as_work(self):
         model = LatencyModel()
         unknown = model.get_levels("s/r")
         model.add_answer("s/r", "t", "a", "k", took_s=0.9, has_waited=True)
         assert model.get_levels("s/r") == unknown
-        assert model.has_sent("t", "k")
+        assert model.has_answered("t", "k")
 
-    def test_a_shorter_way_counts_at_once_and_a_longer_one_slowly(self):
+    def test_shorter_round_trip_counts_at_once_and_longer_one_slowly(self):
         model = LatencyModel()
         for took_s in (0.3, 0.04, 0.3):
             model.add_connect("far", took_s)
         assert 0.04 < model.get_travel("far") < 0.1
 
-    def test_memory_of_keys_is_bounded_and_drops_the_oldest(self):
+    def test_remembered_keys_are_bounded_and_the_oldest_is_dropped(self):
         model = LatencyModel()
-        for i in range(PAIRS_KEPT + 10):
+        for i in range(KEY_PAIRS_KEPT + 10):
             model.add_answer("s/r", "t", "a", str(i), took_s=0.1, has_waited=True)
-        assert not model.has_sent("t", "9")
-        assert model.has_sent("t", "10")
+        assert not model.has_answered("t", "9")
+        assert model.has_answered("t", "10")
 
 
-class TestFade:
+class TestDecayTimes:
     @given(gap_s=st.floats(0.0, 1000.0), work_s=st.floats(0.001, 10.0))
-    def test_it_stays_within_its_bounds(self, gap_s, work_s):
-        fade = Fade.from_pace(gap_s=gap_s, work_s=work_s)
-        assert NEWS_LEAST_S <= fade.news_s <= max(NEWS_LEAST_S, NEWS_WORKS * work_s)
-        assert fade.habit_s >= HABIT_LEAST_S
-        assert fade.news_s < fade.old_s
+    def test_decay_times_stay_within_their_bounds(self, gap_s, work_s):
+        fade = DecayTimes.from_pace(gap_s=gap_s, work_s=work_s)
+        assert (
+            REPORT_DECAY_MIN_S
+            <= fade.news_s
+            <= max(REPORT_DECAY_MIN_S, REPORT_DECAY_WORKS * work_s)
+        )
+        assert fade.habit_s >= AVERAGE_DECAY_MIN_S
+        assert fade.news_s < fade.stale_after_s
 
     @pytest.mark.parametrize(("targets", "is_long"), [(4, False), (400, True)])
-    def test_a_report_counts_longer_where_an_entry_hears_of_a_target_more_seldom(
-        self, targets, is_long
-    ):
+    def test_report_decays_more_slowly_if_reports_of_a_target_are_rarer(self, targets, is_long):
         """Reports arrive every 50 ms: of each of 4 targets every 0.2 s, of 400 every 20 s."""
         loads = LoadTable()
         for i in range(40):
             loads.add(f"t{i % 4}", LoadReport(6, 6, 6), i * 0.05, own=0, service="s")
-            loads.adapt("s", targets=targets, work_s=0.5)
+            loads.update_decay("s", targets=targets, work_s=0.5)
         later = loads.estimate_others("t3", 39 * 0.05 + 2.0)
         assert (later > 6.0) is is_long
 
 
 class TestLoadTable:
-    def test_others_are_what_is_reported_beyond_ones_own(self):
+    def test_own_requests_are_deducted_from_the_reported_ones(self):
         loads = LoadTable()
         loads.add("t", LoadReport(5, 3, 5), 1.0, own=2)
         assert loads.estimate_others("t", 1.0) == 6.0
         assert loads.get_load("t") == 1.6
         assert loads.estimate_others("other", 1.0) == 0.0
 
-    def test_a_report_fades_to_what_is_usual_and_then_to_nothing(self):
+    def test_report_decays_to_the_average_and_then_to_zero(self):
         loads = LoadTable()
         for i in range(30):
             loads.add("t", LoadReport(3, 0, 5), i / 10, own=1)
@@ -97,7 +99,7 @@
         assert 2.0 < soon < 4.0
         assert later < 0.01
 
-    def test_pressure_begins_with_the_first_report_and_follows_slowly(self):
+    def test_pressure_starts_at_the_first_report_and_changes_slowly(self):
         """Regression: after a start all targets looked idle, and keys were sent to cold ones."""
         loads = LoadTable()
         loads.add("t", LoadReport(5, 5, 5), 0.0, own=0)
--- a/halldoor/tests/test_leaving_statement.py
+++ b/halldoor/tests/test_leaving_statement.py
@@ -129,7 +129,7 @@
     @pytest.mark.parametrize("is_restored", [False, True])
     def test_a_whole_reading_of_the_store_does_not_take_it_back(self, catalog, is_restored):
         changes = [TargetSeen(make_target(name)) for name in ("t0", "t1")]
-        catalog.load(changes, 1.0, is_restored=is_restored)
+        catalog.apply_full_read(changes, 1.0, is_restored=is_restored)
         assert self.list_usable(catalog) == {"t1"}
 
     def test_it_does_not_hold_for_the_next_start(self, catalog):
--- a/halldoor/tests/test_limits.py
+++ b/halldoor/tests/test_limits.py
@@ -16,32 +16,32 @@
 
 
 class TestLimitTable:
-    def test_an_older_statement_changes_nothing(self):
+    def test_older_statement_is_ignored(self):
         table = make_table()
         assert not table.add("t1", None, 9.0, entries=10)
         assert table.get_limit("t1", 11.0) == 6.0
 
-    def test_a_limit_changes(self):
+    def test_newer_statement_changes_the_limit(self):
         table = make_table()
         assert table.add("t1", 3.0, 11.0, entries=10)
         assert table.get_limit("t1", 11.0) == 3.0
 
-    def test_after_its_end_the_rate_returns_by_doubling(self):
+    def test_rate_doubles_each_second_after_the_end_of_a_limit(self):
         table = make_table(0.0)
         table.add("t1", None, 20.0, entries=10)
         limits = [table.get_limit("t1", 20.0 + s) for s in range(5)]
         assert limits == [1.0, 2.0, 4.0, 8.0, None]
 
-    def test_the_first_statement_without_a_limit_is_no_news(self):
+    def test_first_statement_without_a_limit_changes_nothing(self):
         assert not LimitTable("e1").add("t1", None, 1.0, entries=3)
 
     @pytest.mark.parametrize(("limit_per_s", "entries"), [(6.0, 10), (0.0, 10), (0.3, 300)])
-    def test_entries_without_news_probe_at_less_than_the_limit(self, limit_per_s, entries):
+    def test_probes_without_statements_stay_below_the_limit(self, limit_per_s, entries):
         table = make_table()
         table.add("t1", limit_per_s, 11.0, entries=entries)
         least_s = max(PROBE_S, entries / max(limit_per_s, 0.25))
-        assert not table.may_probe("t1", 11.0 + 0.99 * least_s)
-        assert table.may_probe("t1", 11.0 + 1.5 * least_s)
+        assert not table.can_probe("t1", 11.0 + 0.99 * least_s)
+        assert table.can_probe("t1", 11.0 + 1.5 * least_s)
 
     @given(
         statements=st.permutations(range(6)),
@@ -59,16 +59,16 @@
             assert table.get_limit("t1", 25.0) == limits[5]
 
 
-class TestReading:
+class TestParsing:
     @pytest.mark.parametrize("value", [b"none", b"-0.1", b"nan", b"inf", b"1,5"])
-    def test_what_is_no_limit_is_an_error(self, value):
+    def test_invalid_limit_raises_value_error(self, value):
         with pytest.raises(ValueError, match=r"convert|a second"):
             parse_limit(value)
 
-    def test_no_field_is_no_limit(self):
+    def test_missing_field_is_no_limit(self):
         assert parse_limit(b"") is None
         assert parse_limit(b"0") == 0.0
 
     @pytest.mark.parametrize(("limit", "age"), [(-1.0, 0.0), (float("nan"), 0.0), (1.0, -1.0)])
-    def test_a_notice_with_such_figures_is_invalid(self, limit, age):
+    def test_notice_with_a_limit_or_age_out_of_range_is_invalid(self, limit, age):
         assert not LimitNotice("t1", 0, limit, age).is_valid
--- a/halldoor/tests/test_order.py
+++ b/halldoor/tests/test_order.py
@@ -8,14 +8,14 @@
 
 from halldoor.core.targets.changes import TargetGone, TargetSeen
 from halldoor.core.targets.order import OrderSettings
-from halldoor.core.targets.regionshare import SHARE_STEP, RegionShares, find_own_share
+from halldoor.core.targets.regionshare import SHARE_STEP, RegionShares, compute_own_share
 from halldoor.tests.choicekit import make_catalog, make_chooser, make_route, make_target
 
 
 class TestLargeFleet:
     """Choices of an entry that rarely gets the same key or uses the same target again."""
 
-    def test_an_entry_without_answers_yet_takes_the_keys_first_target_not_the_nearer(self):
+    def test_entry_without_answers_uses_the_first_target_even_if_the_second_is_nearer(self):
         """Regression: at the start of a fleet, each key was sent to two targets, cold on both."""
         catalog = make_catalog(20)
         chooser = make_chooser(catalog, region_fill=0.0, near_region_fill=0.0)
@@ -31,7 +31,7 @@
         ("travel_s", "aim_s", "fill"),
         [(0.024, 1.2, 1.0), (0.024, 0.3, 1.0), (0.05, 0.3, 1.4), (0.07, 0.4, 1.4)],
     )
-    def test_a_region_takes_what_its_part_of_the_room_is_for_its_callers(
+    def test_share_of_requests_kept_in_the_region_follows_its_slots_per_caller(
         self, travel_s, aim_s, fill
     ):
         """Regression: a region with a tenth of the targets and a third of the requests ran 0.4 of
@@ -54,7 +54,7 @@
         assert abs(shares["ams-a"] - fill * 0.2 / 0.5) < 0.05
         assert abs(shares["grq-a"] - RegionShares().most) < 0.05
 
-    def test_the_own_region_comes_first_while_its_distance_is_not_known(self):
+    def test_own_region_is_preferred_while_the_round_trip_is_unknown(self):
         shares = RegionShares()
         assert shares.find_fill(make_route(aim_s=1.2), None) == shares.fill
 
@@ -64,19 +64,19 @@
         fill=st.floats(0.1, 3.0),
         most=st.floats(0.1, 0.95),
     )
-    def test_the_share_follows_the_room_in_steps(self, room, callers, fill, most):
-        share = find_own_share(room=room, callers=callers, fill=fill, most=most)
+    def test_share_is_proportional_to_the_slots_in_steps(self, room, callers, fill, most):
+        share = compute_own_share(slot_part=room, caller_part=callers, fill=fill, most=most)
         assert abs(share - min(most, fill * room / callers)) <= SHARE_STEP / 2 + 1e-9
         assert 0.0 <= share < 1.0
 
 
 class TestColdTargets:
-    def test_cold_targets_are_used_where_there_are_no_others(self):
+    def test_cold_target_is_used_if_there_is_no_other(self):
         catalog = make_catalog(0)
         catalog.apply(TargetSeen(make_target("t0", cold_left_s=3.0)), 0.0)
         assert make_chooser(catalog).choose(make_route(), "deck", "k", 1.0).name == "t0"
 
-    def test_without_a_cold_target_the_order_is_as_if_it_were_gone(self):
+    def test_order_without_cold_targets_is_as_if_they_did_not_exist(self):
         catalog = make_catalog(6)
         chooser = make_chooser(catalog)
         settings = OrderSettings(1.4, 0.9)
@@ -99,7 +99,7 @@
         # Once they are warm, the keys' first targets stay the same.
         assert [order[0].name for order in get_orders(104.0)] == firsts
 
-    def test_a_target_that_turns_cold_again_loses_its_place_to_the_next(self):
+    def test_requests_beyond_a_cold_targets_rate_all_go_to_the_next_target(self):
         catalog = make_catalog(6)
         chooser = make_chooser(catalog)
         first = chooser.choose(make_route(), "deck", "k", 100.0)
@@ -109,11 +109,13 @@
         assert len(chosen - {first.name}) == 1
 
 
-class TestTargetsOut:
+class TestEjectedTargets:
     """A target that is ejected and later removed moves its keys only once."""
 
     @pytest.mark.parametrize("hall", ["ams-a", "grq-a"])
-    def test_a_key_goes_where_it_goes_when_its_target_is_gone(self, hall):
+    def test_keys_of_an_ejected_target_go_to_the_target_that_gets_them_after_its_removal(
+        self, hall
+    ):
         """Regression: 5 of an ejected target's 22 keys went to another region until its removal."""
         catalog = make_catalog(16)
         chooser = make_chooser(catalog)
--- a/halldoor/tests/test_outlier.py
+++ b/halldoor/tests/test_outlier.py
@@ -20,12 +20,12 @@
         assert table.add_failure("t1", 1.3)
         assert table.is_ejected("t1", 1.4)
 
-    def test_answers_out_of_time_eject_after_three(self):
+    def test_three_answers_out_of_time_eject(self):
         table = OutlierTable()
         ejected = [table.add_failure("t1", 1.0, is_slow=True) for _ in range(3)]
         assert ejected == [False, False, True]
 
-    def test_a_target_that_comes_back_broken_is_ejected_at_once_and_longer(self):
+    def test_target_that_fails_after_an_ejection_is_ejected_at_once_for_longer(self):
         table = OutlierTable()
         table.add_failure("t1", 0.0, is_dead=True)
         back = EJECT_S + 0.01
@@ -34,7 +34,7 @@
         assert table.add_failure("t1", back)
         assert table.is_ejected("t1", back + 1.9 * EJECT_S)
 
-    def test_a_sound_answer_ends_the_trial(self):
+    def test_successful_answer_ends_the_trial(self):
         table = OutlierTable()
         table.add_failure("t1", 0.0, is_dead=True)
         table.add_success("t1", "deck", 0.1, 2.0)
@@ -55,7 +55,7 @@
         warm_up(table)
         assert not table.add_success("t1", "deck", 0.5, 1.0)
 
-    def test_a_service_that_is_slow_as_a_whole_is_not_ejected(self):
+    def test_targets_of_a_slow_service_are_not_ejected(self):
         table = OutlierTable()
         for _ in range(60):
             for name in ("t1", "t2", "t3"):
--- a/halldoor/tests/test_pause.py
+++ b/halldoor/tests/test_pause.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from halldoor.core.targets.relay import find_slot_s
+from halldoor.core.targets.relay import find_watch_slot_wait
 from halldoor.standins import virtualtime
 from halldoor.standins.storefleet import StoreFleet
 
@@ -108,6 +108,6 @@
     phase=st.floats(0.0, 1.0, exclude_max=True),
 )
 def test_a_slot_comes_within_the_period(now, period_s, phase):
-    pause_s = find_slot_s(now, period_s=period_s, phase=phase)
+    pause_s = find_watch_slot_wait(now, period_s=period_s, phase=phase)
     assert 0.0 <= pause_s <= period_s
-    assert find_slot_s(now, period_s=0.0, phase=phase) == 0.0
+    assert find_watch_slot_wait(now, period_s=0.0, phase=phase) == 0.0
--- a/halldoor/tests/test_rate_shares.py
+++ b/halldoor/tests/test_rate_shares.py
@@ -7,9 +7,9 @@
 from halldoor.core.targets.changes import MemberGone
 from halldoor.core.targets.limits import LimitTable
 from halldoor.core.targets.rates import EntryRanks, TargetRates
-from halldoor.core.targets.rests import RestTable
+from halldoor.core.targets.rests import BackoffTable
 from halldoor.core.targets.settings import ChoiceSettings
-from halldoor.core.targets.sharers import ABSENCE_S
+from halldoor.core.targets.sharers import SHARE_KEPT_S
 from halldoor.tests.choicekit import make_catalog
 
 ALLOWED = 9.0 * 1.5 + 5.0
@@ -23,7 +23,7 @@
     for catalog in catalogs.values():
         catalog.count_sharers(0.0)  # The entries started long before the test.
     rates = {
-        name: TargetRates(c, EntryRanks(c, name), LimitTable(name), RestTable(), {})
+        name: TargetRates(c, EntryRanks(c, name), LimitTable(name), BackoffTable(), {})
         for name, c in catalogs.items()
     }
     return catalogs, rates
@@ -35,12 +35,12 @@
     for name, rate in rates.items():
         target = catalogs[name].find_target("t0")
         target.cold_until = now + 10.0
-        taken += sum(rate.take(target, now, ChoiceSettings()) for _ in range(40))
+        taken += sum(rate.reserve_request(target, now, ChoiceSettings()) for _ in range(40))
     return taken
 
 
 @pytest.mark.parametrize("cut", range(1, 10))
-def test_two_groups_of_entries_each_use_the_whole_rate(cut):
+def test_two_groups_of_entries_that_are_cut_off_share_one_rate(cut):
     """Fault: the others see the records of cut-off entries expire; these still see the others.
 
     Each group would then divide the whole rate among its own entries.
@@ -53,33 +53,33 @@
     assert count_taken(catalogs, rates, 110.0) <= LIMIT_PER_S
 
 
-def test_an_entry_that_is_gone_for_good_gives_its_share_back():
+def test_share_of_a_removed_entry_returns_to_the_others():
     names = ["e0", "e1"]
     catalogs, rates = make_rates(names)
     catalogs["e0"].apply(MemberGone("e1"), 100.0)
     del rates["e1"]
     before = count_taken(catalogs, rates, 101.0)
-    after = count_taken(catalogs, rates, 102.0 + ABSENCE_S)
+    after = count_taken(catalogs, rates, 102.0 + SHARE_KEPT_S)
     assert (before, after) == (5, 11)
 
 
-def test_entries_that_restart_send_their_shares_again():
+def test_restarted_entries_wait_a_window_before_they_use_their_shares():
     """Restarted entries don't know what they sent, so they wait until it has left the window."""
     names = [f"e{i}" for i in range(10)]
     catalogs, rates = make_rates(names)
     before = count_taken(catalogs, rates, 100.0)
     for rate in rates.values():
-        rate.begin(100.1)
+        rate.start(100.1)
     assert before + count_taken(catalogs, rates, 100.9) <= LIMIT_PER_S
     assert count_taken(catalogs, rates, 101.3) == before
 
 
-def test_what_was_sent_before_a_target_was_known_to_be_cold_counts():
+def test_requests_sent_before_a_target_was_known_to_be_cold_count():
     """The target may have been cold then already, and would get the whole rate twice."""
     names = ["e0", "e1"]
     catalogs, rates = make_rates(names)
     for name, rate in rates.items():
         target = catalogs[name].find_target("t0")
-        assert all(rate.take(target, 99.5, ChoiceSettings()) for _ in range(9))
+        assert all(rate.reserve_request(target, 99.5, ChoiceSettings()) for _ in range(9))
     assert count_taken(catalogs, rates, 100.0) == 0
     assert count_taken(catalogs, rates, 100.7) > 0
--- a/halldoor/tests/test_reading.py
+++ b/halldoor/tests/test_reading.py
@@ -199,7 +199,7 @@
                 began = asyncio.get_running_loop().time()
                 await asyncio.sleep(BOUND_S)
                 assert not entry.sync.is_confirming
-                assert entry.catalog.fresh_at >= began
+                assert entry.catalog.store_contact_at >= began
 
         virtualtime.run(check())
 
--- a/halldoor/tests/test_relay.py
+++ b/halldoor/tests/test_relay.py
@@ -12,16 +12,16 @@
 
 from halldoor.core.settings import Address
 from halldoor.core.targets.changes import MemberRecord
-from halldoor.core.targets.contact import ContactReport, date_report
+from halldoor.core.targets.contact import ContactReport, compute_contact_span
 from halldoor.core.targets.relay import (
-    CHAINS,
+    CHANGE_PATHS,
     Batch,
     ChangeHistory,
     RelaySettings,
     choose_reader,
     choose_readers,
-    date_poll,
-    date_watch,
+    compute_poll_proof,
+    compute_watch_proof,
 )
 from halldoor.gateway.store import MetadataStore, StoreError
 from halldoor.standins.memorystore import MemoryStore
@@ -77,11 +77,11 @@
 
 
 class TestBudget:
-    @pytest.mark.parametrize("name", CHAINS)
+    @pytest.mark.parametrize("name", CHANGE_PATHS)
     @given(bound_s=st.floats(2.0, 10.0))
     def test_the_parts_of_each_way_add_up_to_no_more_than_the_bound(self, name, bound_s):
         """With a limit for each step alone, a lost reader plus a lost history took 2.5 s, not 2."""
-        assert RelaySettings(bound_s=bound_s).budget.add_up(CHAINS[name]) <= bound_s
+        assert RelaySettings(bound_s=bound_s).budget.add_up(CHANGE_PATHS[name]) <= bound_s
 
     @given(bound_s=st.floats(0.5, 10.0), age_s=st.floats(0.0, 10.0))
     def test_a_poll_ends_when_its_followers_knowledge_is_too_old(self, bound_s, age_s):
@@ -168,7 +168,7 @@
         arrived = sent_at + there_s
         has_changes = change_s < wait_s
         answered = arrived + min(change_s, wait_s)
-        proven = date_watch(
+        proven = compute_watch_proof(
             sent_at=sent_at,
             wait_s=wait_s,
             returned_at=answered + back_s,
@@ -182,7 +182,7 @@
     ):
         sent_at = proven + then_s
         answered = sent_at + there_s + held_s
-        dated = date_poll(sent_at=sent_at, held_s=held_s, age_s=answered - proven)
+        dated = compute_poll_proof(sent_at=sent_at, held_s=held_s, age_s=answered - proven)
         assert dated <= proven + 1e-9
 
     @given(away_s=delays, heard_s=delays, there_s=delays, held_s=delays, back_s=delays)
@@ -191,7 +191,7 @@
     ):
         since, answered = 0.0, away_s + heard_s
         sent_at = answered - held_s - there_s
-        span = date_report(
+        span = compute_contact_span(
             ContactReport(answered - since, heard_s),
             sent_at=sent_at,
             held_s=held_s,
@@ -205,7 +205,7 @@
         for there_s, held_s in delays_s:
             age_s = now + there_s + held_s - proven
             sent_at, now = now, now + there_s + held_s
-            proven = date_poll(sent_at=sent_at, held_s=held_s, age_s=age_s)
+            proven = compute_poll_proof(sent_at=sent_at, held_s=held_s, age_s=age_s)
             assert proven <= 1e-9
 
 
--- a/halldoor/tests/test_replay.py
+++ b/halldoor/tests/test_replay.py
@@ -6,7 +6,7 @@
 import pytest
 
 from halldoor.core.targets import load
-from halldoor.core.targets.load import Fade
+from halldoor.core.targets.load import DecayTimes
 from halldoor.standins.patterns import LARGE, SHIFTED, Burst, Slowdown
 from halldoor.standins.replay import Replay
 
@@ -63,7 +63,9 @@
 class TestLargeFleet:
     def test_a_report_counts_until_the_next_one_is_due(self, usual, monkeypatch):
         """0.82 in time after the first seconds where reports faded in 0.2 s, 0.96 with the pace."""
-        monkeypatch.setattr(load.Fade, "from_pace", classmethod(lambda cls, **_: Fade()))
+        monkeypatch.setattr(
+            load.DecayTimes, "from_pace", classmethod(lambda cls, **_: DecayTimes())
+        )
         fading = average(play(), lambda t: t.share_in_aim(6.0))
         assert average(usual, lambda t: t.share_in_aim(6.0)) > fading + 0.08
 
--- a/halldoor/tests/test_requested_rest.py
+++ b/halldoor/tests/test_requested_rest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from halldoor.core.targets.rests import REST_MOST_S, RestTable, parse_rest
+from halldoor.core.targets.rests import BACKOFF_MAX_S, BackoffTable, parse_backoff
 from halldoor.core.targets.statement import TargetStatement
 from halldoor.tests.ratekit import RateFleet
 
@@ -115,12 +115,12 @@
         ],
     )
     def test_what_a_target_may_write(self, value, rest_s):
-        assert parse_rest(value, self.WALL_S) == rest_s
+        assert parse_backoff(value, self.WALL_S) == rest_s
 
     def test_repeated_fields_are_one_value(self):
         headers = [(b"Retry-After", b"1"), (b"X", b"y"), (b"retry-after", b"9")]
         statement = TargetStatement.from_answer(503, headers, {b"retry-after": "retry_after"})
-        assert parse_rest(statement.retry_after, self.WALL_S) == 9.0
+        assert parse_backoff(statement.retry_after, self.WALL_S) == 9.0
 
 
 class TestTable:
@@ -132,61 +132,61 @@
         """Return the times at which a request was allowed; each is answered before the next."""
         sent = []
         for now in times:
-            if table.may_send(self.START, now, in_flight=0):
-                table.note_sent(self.START, now)
+            if table.can_send(self.START, now, in_flight=0):
+                table.record_sent(self.START, now)
                 sent.append(now)
                 if is_sound:
-                    table.add_sound(self.START, now)
+                    table.add_success(self.START, now)
                 else:
                     table.add(self.START, rest_s, now)
         return sent
 
     def test_nothing_is_sent_in_a_short_rest(self):
-        table = RestTable()
+        table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
         assert not self.count_sent(table, [i / 10 for i in range(30)], is_sound=True)
-        assert table.may_send(self.START, 3.0, in_flight=0)
+        assert table.can_send(self.START, 3.0, in_flight=0)
 
     def test_the_longer_of_two_rests_holds(self):
-        table = RestTable()
+        table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
         table.add(self.START, 1.0, 0.1)
         assert table.find_wait(self.START, 1.0) == 2.0
 
     def test_a_target_that_asks_for_an_hour_in_error_is_not_lost(self):
-        table = RestTable()
+        table = BackoffTable()
         table.add(self.START, 3600.0, 0.0)
         assert len(self.count_sent(table, range(61), is_sound=True)) == MOST_IN_REST
-        assert table.may_send(self.START, 61.0, in_flight=0)
+        assert table.can_send(self.START, 61.0, in_flight=0)
 
     @pytest.mark.parametrize("rest_s", [40.0, 600.0, 3600.0])
     def test_a_target_that_keeps_asking_gets_two_requests_in_a_rest(self, rest_s):
-        table = RestTable()
+        table = BackoffTable()
         table.add(self.START, rest_s, 0.0)
         sent = [0.0, *self.count_sent(table, range(8000), is_sound=False, rest_s=rest_s)]
         for at in sent:
             assert sum(at + GRACE_S < t < at + rest_s for t in sent) <= MOST_IN_REST
 
     def test_a_rest_has_an_end_whatever_is_asked(self):
-        table = RestTable()
+        table = BackoffTable()
         table.add(self.START, 1e12, 0.0)
-        assert table.find_wait(self.START, 0.0) == REST_MOST_S
+        assert table.find_wait(self.START, 0.0) == BACKOFF_MAX_S
 
     def test_the_requests_in_flight_grow_after_a_rest(self):
-        table = RestTable()
+        table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
-        assert not table.may_send(self.START, 5.0, in_flight=1)
-        table.add_sound(self.START, 5.0)
+        assert not table.can_send(self.START, 5.0, in_flight=1)
+        table.add_success(self.START, 5.0)
         allowed = [
-            sum(table.may_send(self.START, now, in_flight=i) for i in range(20))
+            sum(table.can_send(self.START, now, in_flight=i) for i in range(20))
             for now in (3.5, 4.5, 5.5, 6.5)
         ]
         assert allowed == [1, 2, 5, 20]
 
     def test_it_does_not_hold_for_the_next_start(self):
-        table = RestTable()
+        table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
-        assert table.may_send(("t1", 7), 1.0, in_flight=0)
+        assert table.can_send(("t1", 7), 1.0, in_flight=0)
 
 
 @pytest.mark.parametrize(
--- a/halldoor/tests/test_restart.py
+++ b/halldoor/tests/test_restart.py
@@ -5,11 +5,11 @@
 import asyncio
 
 from halldoor.core.targets.changes import TargetGone, TargetSeen
-from halldoor.tests.choicekit import hear_store_return, make_catalog, make_target
+from halldoor.tests.choicekit import make_catalog, make_target, record_store_return
 from halldoor.tests.gatewaykit import GatewayKit
 
 
-def see(catalog, now=1.0, **changes):
+def apply_record(catalog, now=1.0, **changes):
     record = make_target("t0")._replace(**changes)
     return catalog.apply(TargetSeen(record), now)
 
@@ -19,38 +19,38 @@
 
 
 class TestCatalog:
-    def test_draining_ends_with_the_next_start(self):
+    def test_target_is_usable_again_after_its_next_start(self):
         catalog = make_catalog(targets=1)
-        see(catalog, started_ms=100, is_draining=True)
-        see(catalog, started_ms=100)
+        apply_record(catalog, started_ms=100, is_draining=True)
+        apply_record(catalog, started_ms=100)
         assert not is_usable(catalog), "an old record of the same start"
-        assert see(catalog, started_ms=200, cold_left_s=3.0)
+        assert apply_record(catalog, started_ms=200, cold_left_s=3.0)
         assert is_usable(catalog) and catalog.find_target("t0").is_cold(2.0)
 
-    def test_a_record_of_an_earlier_start_changes_nothing(self):
+    def test_record_of_an_earlier_start_is_ignored(self):
         catalog = make_catalog(targets=1)
-        see(catalog, started_ms=200)
-        assert not see(catalog, started_ms=100, is_draining=True)
+        apply_record(catalog, started_ms=200)
+        assert not apply_record(catalog, started_ms=100, is_draining=True)
         assert is_usable(catalog)
 
-    def test_each_new_start_is_told_once(self):
+    def test_each_new_start_is_reported_once(self):
         catalog = make_catalog(targets=1)
-        see(catalog, started_ms=100)
-        assert not catalog.take_restart("t0")
-        see(catalog, started_ms=200)
-        assert [catalog.take_restart("t0") for _ in range(2)] == [True, False]
+        apply_record(catalog, started_ms=100)
+        assert not catalog.pop_restart("t0")
+        apply_record(catalog, started_ms=200)
+        assert [catalog.pop_restart("t0") for _ in range(2)] == [True, False]
 
-    def test_a_target_that_lapsed_and_came_back_anew_stays(self):
+    def test_expired_target_that_starts_again_is_kept(self):
         catalog = make_catalog(targets=1)
-        see(catalog, started_ms=100)
-        hear_store_return(catalog, 2.0)
+        apply_record(catalog, started_ms=100)
+        record_store_return(catalog, 2.0)
         catalog.apply(TargetGone("t0"), 2.0)
-        see(catalog, 2.5, started_ms=200)
+        apply_record(catalog, 2.5, started_ms=200)
         assert catalog.drop_lapsed(10.0) == [] and is_usable(catalog)
 
 
 class TestGateway:
-    def test_what_was_learnt_is_dropped_and_nothing_goes_over_old_connections(self):
+    def test_restart_drops_the_results_and_connections_of_the_earlier_start(self):
         async def check():
             async with GatewayKit.open(targets=1) as kit:
                 kit.write_target("t0", started_ms=100)
@@ -59,12 +59,12 @@
                 gateway = kit.gateway
                 assert gateway.pool.count_idle() == 1
                 gateway.feedback.add_failure("t0", 0.0, "reset", is_dead=True)
-                assert gateway.feedback._latency.has_sent("t0", "k")
+                assert gateway.feedback._latency.has_answered("t0", "k")
                 kit.write_target("t0", started_ms=200)
                 await kit.wait(lambda: gateway.catalog.find_target("t0").record.started_ms == 200)
                 assert gateway.pool.count_idle() == 0
-                assert not gateway.feedback._latency.has_sent("t0", "k")
-                assert not gateway.chooser.list_out(asyncio.get_running_loop().time())
+                assert not gateway.feedback._latency.has_answered("t0", "k")
+                assert not gateway.chooser.list_excluded(asyncio.get_running_loop().time())
                 assert (await kit.call(key="k")).status == 200
 
         asyncio.run(check())
--- a/halldoor/tests/test_sharing.py
+++ b/halldoor/tests/test_sharing.py
@@ -17,30 +17,30 @@
 
 
 class TestPeers:
-    def test_they_are_others_of_the_hall_and_not_too_many(self):
+    def test_peers_are_a_bounded_number_of_others_of_the_hall(self):
         members = [make_member(f"e{i}") for i in range(30)] + [make_member("far", "grq-a")]
         peers = choose_peers(members, members[0], SharingSettings(peers=12))
         assert len({p.name for p in peers}) == 12
         assert not {"e0", "far"} & {p.name for p in peers}
 
-    def test_each_entry_is_told_by_about_as_many(self):
+    def test_each_entry_is_a_peer_of_at_least_four_others(self):
         members = [make_member(f"e{i}") for i in range(30)]
         told = [p.name for m in members for p in choose_peers(members, m, SharingSettings())]
         assert min(told.count(m.name) for m in members) >= 4
 
 
 class TestSharing:
-    def test_an_entry_knows_what_another_one_saw(self):
+    def test_observation_of_one_entry_reaches_another(self):
         async def check():
             async with open_pair() as (one, two):
                 await two.wait(lambda: len(one.gateway.catalog.members) == 2)
                 assert (await one.call(key="k")).status == 200
                 name = next(name for name, t in one.targets.items() if t.received)
-                await two.wait(lambda: two.gateway.feedback._latency.has_sent(name, "k"))
+                await two.wait(lambda: two.gateway.feedback._latency.has_answered(name, "k"))
 
         asyncio.run(check())
 
-    def test_what_cannot_be_read_is_counted_and_changes_nothing(self):
+    def test_malformed_messages_are_counted_and_ignored(self):
         metrics = GatewayMetrics()
         port = DatagramPort(None, is_entry=lambda _: True, metrics=metrics)
         port.receive(MessageKind.OBSERVATIONS, list[int], lambda *_: None)
--- a/halldoor/tests/test_withdrawn_target.py
+++ b/halldoor/tests/test_withdrawn_target.py
@@ -7,8 +7,13 @@
 import pytest
 
 from halldoor.core.targets.changes import TargetGone, TargetSeen, TargetStart
-from halldoor.core.targets.withdrawal import HOLD_S, HOLDS_MOST, StoreNotice, StoreView
-from halldoor.tests.choicekit import hear_store_return, make_catalog, make_target
+from halldoor.core.targets.withdrawal import (
+    NOTICES_MAX,
+    WITHDRAWAL_NOTICE_S,
+    StoreNotice,
+    StoreView,
+)
+from halldoor.tests.choicekit import make_catalog, make_target, record_store_return
 from halldoor.tests.gatewaykit import GatewayKit
 from halldoor.tests.ratekit import RateFleet
 
@@ -20,11 +25,11 @@
 def silence_watches(fleet, entries):
     """Make the watches of some entries never return; other calls to the store are answered."""
 
-    async def bring_nothing(*_, **__):
+    async def never_return(*_, **__):
         await asyncio.Event().wait()
 
     for i in entries:
-        fleet.links[i].watch = bring_nothing
+        fleet.links[i].watch = never_return
 
 
 def configure(fleet, *, version):
@@ -35,7 +40,7 @@
 
 @pytest.mark.parametrize("entries", [6, 10])
 @pytest.mark.parametrize("is_removed", [False, True])
-def test_entries_with_silent_watches_send_to_a_withdrawn_target(entries, is_removed):
+def test_entries_with_silent_watches_stop_sending_to_a_withdrawn_target(entries, is_removed):
     """Fault: watches never return while lease renewals are answered, so that all looks healthy."""
 
     async def check():
@@ -59,7 +64,7 @@
     asyncio.run(check())
 
 
-def test_an_entry_whose_watch_is_silent_misses_a_configuration():
+def test_entry_with_a_silent_watch_applies_a_new_configuration():
     """An entry that is notified of a newer revision must open another watch."""
 
     async def check():
@@ -85,108 +90,116 @@
     @pytest.fixture
     def catalog(self):
         catalog = make_catalog(targets=2)
-        assert catalog.withdraw(TargetStart("t0", 0), FAR, until=HOLD_S)
+        assert catalog.withdraw(TargetStart("t0", 0), FAR, until=WITHDRAWAL_NOTICE_S)
         return catalog
 
     def list_usable(self, catalog):
         return {target.name for target in catalog.list_usable("deck")}
 
-    def test_it_is_not_used(self, catalog):
+    def test_withdrawn_target_is_not_used(self, catalog):
         assert self.list_usable(catalog) == {"t1"}
         assert not catalog.can_send("t0")
 
     @pytest.mark.parametrize("revision", [7, 8])
-    def test_an_older_record_does_not_take_it_back(self, catalog, revision):
+    def test_older_record_does_not_make_the_target_usable(self, catalog, revision):
         catalog.apply(TargetSeen(make_target("t0")), 1.0)
-        assert catalog.release_withdrawn(StoreView("1", revision), 1.0) == []
+        assert catalog.release_reached_withdrawals(StoreView("1", revision), 1.0) == []
         assert self.list_usable(catalog) == {"t1"}
 
-    def test_the_own_view_decides_once_it_has_reached_the_notice(self, catalog):
-        assert catalog.release_withdrawn(StoreView("1", 9), 1.0) == [TargetStart("t0", 0)]
+    def test_target_is_usable_once_the_own_view_reached_the_notice(self, catalog):
+        assert catalog.release_reached_withdrawals(StoreView("1", 9), 1.0) == [TargetStart("t0", 0)]
         assert self.list_usable(catalog) == {"t0", "t1"}
 
-    def test_the_own_view_may_say_so_too(self, catalog):
+    def test_target_that_the_own_view_withdrew_too_stays_unusable(self, catalog):
         catalog.apply(TargetSeen(make_target("t0")._replace(is_draining=True)), 1.0)
-        assert catalog.release_withdrawn(StoreView("1", 9), 1.0) == []
+        assert catalog.release_reached_withdrawals(StoreView("1", 9), 1.0) == []
         assert self.list_usable(catalog) == {"t1"}
-        assert catalog.take_withdrawn() == []
+        assert catalog.pop_withdrawn() == []
 
-    def test_it_ends_where_the_own_view_never_gets_there(self, catalog):
-        assert catalog.release_withdrawn(StoreView("1", 7), HOLD_S - 0.1) == []
-        assert catalog.release_withdrawn(StoreView("1", 7), HOLD_S) == [TargetStart("t0", 0)]
+    def test_notice_expires_if_the_own_view_never_reaches_it(self, catalog):
+        assert (
+            catalog.release_reached_withdrawals(StoreView("1", 7), WITHDRAWAL_NOTICE_S - 0.1) == []
+        )
+        assert catalog.release_reached_withdrawals(StoreView("1", 7), WITHDRAWAL_NOTICE_S) == [
+            TargetStart("t0", 0)
+        ]
 
-    def test_a_later_copy_of_the_store_decides_by_itself(self, catalog):
-        assert catalog.release_withdrawn(StoreView("2", 3), 1.0) == [TargetStart("t0", 0)]
+    def test_notice_ends_with_a_view_of_a_later_copy_of_the_store(self, catalog):
+        assert catalog.release_reached_withdrawals(StoreView("2", 3), 1.0) == [TargetStart("t0", 0)]
 
-    def test_the_next_start_is_used(self, catalog):
+    def test_next_start_of_a_withdrawn_target_is_usable(self, catalog):
         record = make_target("t0")
         catalog.apply(TargetSeen(record._replace(started_ms=5)), 1.0)
-        assert catalog.release_withdrawn(StoreView("1", 9), 1.0) == [TargetStart("t0", 0)]
-        assert catalog.withdraw(TargetStart("t0", 5), StoreView("1", 12), until=HOLD_S)
+        assert catalog.release_reached_withdrawals(StoreView("1", 9), 1.0) == [TargetStart("t0", 0)]
+        assert catalog.withdraw(TargetStart("t0", 5), StoreView("1", 12), until=WITHDRAWAL_NOTICE_S)
         catalog.apply(TargetSeen(record._replace(started_ms=7)), 1.0)
         assert self.list_usable(catalog) == {"t0", "t1"}
-        assert catalog.release_withdrawn(StoreView("1", 12), 1.0) == []
+        assert catalog.release_reached_withdrawals(StoreView("1", 12), 1.0) == []
 
     @pytest.mark.parametrize(("name", "known"), [("t9", []), ("t1", [3])])
-    def test_a_record_that_comes_after_the_notice_makes_it_usable(self, catalog, name, known):
+    def test_record_that_arrives_after_its_notice_does_not_make_the_target_usable(
+        self, catalog, name, known
+    ):
         # Regression: notices of targets, or of starts, that the entry didn't know were dropped.
         for started_ms in known:
             catalog.apply(TargetSeen(make_target(name)._replace(started_ms=started_ms)), 0.5)
         start = TargetStart(name, 5)
-        assert not catalog.withdraw(start, FAR, until=HOLD_S)
+        assert not catalog.withdraw(start, FAR, until=WITHDRAWAL_NOTICE_S)
         catalog.apply(TargetSeen(make_target(name)._replace(started_ms=5)), 1.0)
         assert not catalog.can_send(name)
-        assert start in catalog.release_withdrawn(FAR, 1.0)
+        assert start in catalog.release_reached_withdrawals(FAR, 1.0)
         assert catalog.can_send(name)
 
-    def test_the_own_view_may_take_the_removal_for_a_lapse(self, catalog):
-        hear_store_return(catalog, 10.0)
+    def test_target_is_usable_if_the_own_view_treats_its_removal_as_expiry(self, catalog):
+        record_store_return(catalog, 10.0)
         catalog.apply(TargetGone("t0"), 10.0)
-        assert catalog.release_withdrawn(StoreView("1", 9), 10.0) == [TargetStart("t0", 0)]
+        assert catalog.release_reached_withdrawals(StoreView("1", 9), 10.0) == [
+            TargetStart("t0", 0)
+        ]
         assert "t0" in catalog.lapsed
         assert self.list_usable(catalog) == {"t0", "t1"}
 
 
-def test_notices_of_unknown_targets_are_held_without_a_bound():
+def test_number_of_notices_of_unknown_targets_is_bounded():
     """Notices may name any target; beyond the bound, those of known targets still work."""
     catalog = make_catalog(targets=2)
-    for i in range(HOLDS_MOST + 10):
-        catalog.withdraw(TargetStart(f"x{i}", 0), FAR, until=HOLD_S)
-    assert catalog.withdraw(TargetStart("t0", 0), FAR, until=HOLD_S)
+    for i in range(NOTICES_MAX + 10):
+        catalog.withdraw(TargetStart(f"x{i}", 0), FAR, until=WITHDRAWAL_NOTICE_S)
+    assert catalog.withdraw(TargetStart("t0", 0), FAR, until=WITHDRAWAL_NOTICE_S)
     assert not catalog.can_send("t0")
-    assert catalog.count_withdrawals() <= HOLDS_MOST + 1
-    assert catalog.release_withdrawn(FAR, 1.0) == [TargetStart("t0", 0)]
+    assert catalog.count_withdrawals() <= NOTICES_MAX + 1
+    assert catalog.release_reached_withdrawals(FAR, 1.0) == [TargetStart("t0", 0)]
     assert catalog.count_withdrawals() == 0
 
 
-class TestNews:
+class TestAnnouncements:
     """An entry announces each target that the store's records withdrew, once."""
 
-    def test_a_target_that_drains_and_then_goes_is_announced_once(self):
+    def test_target_that_drains_and_is_then_removed_is_announced_once(self):
         catalog = make_catalog(targets=2)
         draining = TargetSeen(make_target("t0")._replace(is_draining=True))
         catalog.apply(draining, 1.0)
         catalog.apply(draining, 2.0)
         catalog.apply(TargetGone("t0"), 3.0)
         catalog.apply(TargetGone("t1"), 3.0)
-        assert catalog.take_withdrawn() == [TargetStart("t0", 0), TargetStart("t1", 0)]
-        assert catalog.take_withdrawn() == []
+        assert catalog.pop_withdrawn() == [TargetStart("t0", 0), TargetStart("t1", 0)]
+        assert catalog.pop_withdrawn() == []
 
-    def test_what_lapsed_is_not_announced(self):
+    def test_expired_target_is_not_announced(self):
         catalog = make_catalog(targets=1)
-        hear_store_return(catalog, 10.0)
+        record_store_return(catalog, 10.0)
         catalog.apply(TargetGone("t0"), 10.0)
         assert catalog.find_target("t0") is not None
-        assert catalog.take_withdrawn() == []
+        assert catalog.pop_withdrawn() == []
 
-    def test_what_was_gone_at_the_first_reading_is_not_announced(self):
+    def test_target_that_drains_at_the_first_read_is_not_announced(self):
         catalog = make_catalog(targets=0)
         draining = TargetSeen(make_target("t0")._replace(is_draining=True))
-        catalog.load([draining], 1.0)
-        assert catalog.take_withdrawn() == []
+        catalog.apply_full_read([draining], 1.0)
+        assert catalog.pop_withdrawn() == []
 
 
-@pytest.mark.parametrize("age_s", [-1.0, float("nan"), float("inf"), HOLD_S])
+@pytest.mark.parametrize("age_s", [-1.0, float("nan"), float("inf"), WITHDRAWAL_NOTICE_S])
 def test_a_notice_of_an_impossible_age_is_not_valid(age_s):
     assert not StoreNotice(FAR, age_s, []).is_valid
 
@@ -195,6 +208,6 @@
     assert not StoreNotice(FAR, 0.0, [TargetStart(f"t{i}", 0) for i in range(17)]).is_valid
 
 
-def test_a_notice_of_an_endless_era_is_not_valid():
+def test_notice_with_too_long_an_era_is_not_valid():
     """Regression: an era with thousands of digits can't be converted to a number."""
     assert not StoreNotice(StoreView("1" * 5000, 9), 0.0, []).is_valid
--- a/properties/test_budget.py
+++ b/properties/test_budget.py
@@ -15,7 +15,7 @@
 
 
 @given(events=EVENTS, entries=st.integers(1, 7))
-def test_retries_of_all_entries_stay_within_the_budget(events, entries):
+def test_retries_of_all_entries_together_stay_within_the_budget(events, entries):
     ratio, slack = 0.2, 20.0
     shares = [RetryShare(ratio=ratio, slack=slack, window_s=WINDOW_S) for _ in range(entries)]
     now = 0.0
@@ -48,7 +48,9 @@
     for pause_s, entry in sends:
         now += pause_s
         name = names[entry % entries]
-        taken = shares[name].take("t1", now, limit=limit, entries=entries, rank=order.index(name))
+        taken = shares[name].reserve_request(
+            "t1", now, limit=limit, entries=entries, rank=order.index(name)
+        )
         if taken:
             sent.append(now)
         assert len([t for t in sent if t > now - 1.0]) <= limit
--- a/properties/test_lapses.py
+++ b/properties/test_lapses.py
@@ -26,9 +26,9 @@
     for at, span in sorted(spans, key=lambda s: s[0]):
         while now + TICK_S < at:
             now += TICK_S
-            contact.tick(now)
+            contact.record_tick(now)
         now = at
-        contact.note_span(span, now)
+        contact.record_span(span, now)
         yield now, contact
 
 
@@ -50,7 +50,7 @@
     sound = [(at, span) for at, span in spans if span.until <= AWAY_FROM_S or span.since >= back_at]
     for now, contact in play(sound):
         if back_at <= now <= back_at + CatalogTimings().settle_s:
-            absence = contact.absence
+            absence = contact.outage
             assert absence is not None and absence.length_s >= away_s - 1e-6
             assert back_at <= absence.ended_at <= now
 
@@ -71,7 +71,7 @@
         spans.append((at, ContactSpan(0.0, at - age_s)))
         at += period_s
     for _, contact in play(spans):
-        absence = contact.absence
+        absence = contact.outage
         assert absence is None or absence.length_s < CatalogTimings().lapse_s
 
 
