--- a/benchmarks/access.py
+++ b/benchmarks/access.py
@@ -7,7 +7,7 @@
 
 from benchmarks.common import format_table, write_result
 from halldoor.core.targets.route import CallerLimits, Routing
-from halldoor.core.teams.admission import AccessSettings, AccessTable, Entrance
+from halldoor.core.teams.admission import AccessSettings, AccessTable, AdmittedRequest
 from halldoor.core.teams.gate import QuotaGate
 from halldoor.core.teams.team import Team, TeamLimit, digest_key
 from halldoor.tests.choicekit import SERVICE, make_route
@@ -28,13 +28,13 @@
     routing = Routing(1, (make_route(),), {"deck": SERVICE}, CallerLimits(), tuple(known))
     table = AccessTable(routing)
     gate = QuotaGate("e1", 1, Random(1).random)
-    gate.use(table.teams.get_limits())
+    gate.set_limits(table.teams.get_limits())
     fields = [f"Bearer key{i % teams}".encode() for i in range(REQUESTS)]
     best = float("inf")
     for _ in range(ROUNDS):
         began = time.process_time()
         for field in fields:
-            entrance = table.enter(
+            entrance = table.admit_request(
                 "decks.example",
                 "/a/b",
                 field,
@@ -45,7 +45,7 @@
                 settings=AccessSettings(),
             )
         best = min(best, time.process_time() - began)
-        assert isinstance(entrance, Entrance)
+        assert isinstance(entrance, AdmittedRequest)
     return [teams, f"{best / REQUESTS * 1e6:.1f}"]
 
 
--- a/benchmarks/blocks.py
+++ b/benchmarks/blocks.py
@@ -51,12 +51,12 @@
     held = {name: bytes(bytearray(data)) for name, data in old.items()}
     table = BlockTable()
     for name, data in held.items():
-        table.replace(name, data)
+        table.replace_chunk(name, data)
     size_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.reset_peak()
     for name, data in new.items():
         held[name] = bytes(bytearray(data))
-        table.replace(name, held[name])
+        table.replace_chunk(name, held[name])
     peak_mb = tracemalloc.get_traced_memory()[1] / 1e6
     tracemalloc.stop()
     times = _time_lookups(table, size)
--- a/halldoor/admin/service.py
+++ b/halldoor/admin/service.py
@@ -11,7 +11,7 @@
 
 from halldoor.core.errors import HalldoorError, PlatformError
 from halldoor.core.steering.audit import AuditRecord, Difference, compare
-from halldoor.core.steering.configuration import Configuration, EntryHost, Team, to_shown_data
+from halldoor.core.steering.configuration import Configuration, EntryHost, Team, to_display_data
 from halldoor.core.steering.operation import edit_drain, edit_shift
 from halldoor.core.steering.permission import check_permission, find_team
 from halldoor.keyvalue.store import Change, ConfigurationStore, Stored
@@ -51,7 +51,7 @@
     def read(self) -> dict[str, Any]:
         """Return the accepted configuration, without the hashes of tokens."""
         stored = self._store.read()
-        shown = to_shown_data(stored.configuration)
+        shown = to_display_data(stored.configuration)
         return {"revision": stored.revision, "configuration": shown}
 
     def plan(self, wanted: Configuration) -> dict[str, Any]:
@@ -183,7 +183,7 @@
 
 def _list_differences(stored: Stored, wanted: Configuration) -> list[Difference]:
     """List what would change; the fields that the API itself writes are left out."""
-    found = compare(to_shown_data(stored.configuration), to_shown_data(wanted))
+    found = compare(to_display_data(stored.configuration), to_display_data(wanted))
     own = ("former_rosters", "roster_revision")
     return [d for d in found if not d.path.endswith(own)]
 
--- a/halldoor/core/explaining/history.py
+++ b/halldoor/core/explaining/history.py
@@ -9,7 +9,7 @@
 
 from halldoor.core.targets.load import DecayTimes
 
-BELIEF_WINDOW_S = 10.0
+CONTEXT_WINDOW_S = 10.0
 """Time before the end of a request in which changes of the entry's state are listed, in seconds."""
 
 
@@ -59,7 +59,7 @@
     return Warmth.HAD_THE_KEY if attempt.get("has_sent_key") else Warmth.COLD
 
 
-def date_lines(lines: Iterable[LogLine]) -> Iterator[tuple[LogLine, float]]:
+def add_times_since_start(lines: Iterable[LogLine]) -> Iterator[tuple[LogLine, float]]:
     """Yield each line with the time since its entry's start, in seconds."""
     started_at: dict[str, float] = {}
     for line in lines:
@@ -112,38 +112,38 @@
     list of str
         Lines of text; empty if no log line names the id.
     """
-    known = list(lines)
-    told: list[str] = []
-    for line in known:
+    all_lines = list(lines)
+    sentences: list[str] = []
+    for line in all_lines:
         if line.fields.get("id") == attempt_id:
-            told += _tell_end(line)
-            told += [f"  {text}" for text in _tell_beliefs(known, line)]
-    entries = sorted({line.entry for line in known if line.fields.get("id") == attempt_id})
+            sentences += _describe_request(line)
+            sentences += [f"  {text}" for text in _describe_context(all_lines, line)]
+    entries = sorted({line.entry for line in all_lines if line.fields.get("id") == attempt_id})
     if len(entries) > 1:
-        told.insert(0, f"{len(entries)} entries name it: {', '.join(entries)}.")
-    return told
+        sentences.insert(0, f"{len(entries)} entries name it: {', '.join(entries)}.")
+    return sentences
 
 
-def _tell_end(line: LogLine) -> list[str]:
+def _describe_request(line: LogLine) -> list[str]:
     """Describe a request from the line that logged its end, with each attempt."""
     fields = line.fields
     if "status" not in fields:
         detail = ", ".join(f"{k} {v}" for k, v in fields.items() if k != "id")
         return [f"Entry {line.entry}: {line.text} ({detail})"]
-    told = [
+    sentences = [
         f"Entry {line.entry} answered {fields['status']} after {fields.get('took_ms', 0)} ms: "
         f"{fields.get('outcome', '')}.",
         f"  Route {fields.get('route', '(none)')}, service {fields.get('service', '(none)')}, "
         f"key {fields.get('key') or '(none)'}, configuration {fields.get('version', 0)}, "
         f"last contact with the store {fields.get('store_age_ms', 0)} ms before.",
     ]
-    told += [f"  {text}" for text in _tell_team(fields)]
-    told += [f"  {_tell_attempt(attempt)}" for attempt in fields.get("attempts", [])]
-    told.append(f"  {_judge(fields)}")
-    return told
+    sentences += [f"  {text}" for text in _describe_team(fields)]
+    sentences += [f"  {_describe_attempt(attempt)}" for attempt in fields.get("attempts", [])]
+    sentences.append(f"  {_describe_outcome(fields)}")
+    return sentences
 
 
-def _tell_team(fields: dict[str, Any]) -> Iterator[str]:
+def _describe_team(fields: dict[str, Any]) -> Iterator[str]:
     """Describe the team of a request, and the quota's decision about it."""
     if fields.get("key_digest"):
         yield f"No team holds the key whose digest begins with {fields['key_digest']}."
@@ -158,24 +158,24 @@
             yield f"All entries admit {percent} of its requests, by an answer {age_ms} before."
 
 
-def _tell_attempt(attempt: dict[str, Any]) -> str:
+def _describe_attempt(attempt: dict[str, Any]) -> str:
     """Describe one attempt, with the entry's view of the target and the expected time."""
     detail = f" ({attempt['detail']})" if attempt.get("detail") else ""
     return (
         f"Target {attempt['target']}: {attempt['result']}{detail} after {attempt['took_ms']} ms; "
-        f"{attempt['in_flight']} in flight from here, {_tell_load(attempt)}; "
-        f"{_tell_connecting(attempt)}; {_tell_choice(attempt)}."
+        f"{attempt['in_flight']} in flight from here, {_describe_load(attempt)}; "
+        f"{_describe_connection(attempt)}; {_describe_choice(attempt)}."
     )
 
 
-def _tell_connecting(attempt: dict[str, Any]) -> str:
+def _describe_connection(attempt: dict[str, Any]) -> str:
     """Describe whether an attempt used a kept or a new connection."""
     if attempt.get("is_reused"):
         return "on a kept connection"
     return f"on a new connection, up after {attempt.get('connect_ms', 0)} ms"
 
 
-def _tell_choice(attempt: dict[str, Any]) -> str:
+def _describe_choice(attempt: dict[str, Any]) -> str:
     """Describe why the target was chosen: its rank for the key, and the expected time."""
     if "expected_ms" not in attempt:
         return "no expected time logged"
@@ -185,7 +185,7 @@
     )
 
 
-def _tell_load(attempt: dict[str, Any]) -> str:
+def _describe_load(attempt: dict[str, Any]) -> str:
     """Describe the load that a target had reported."""
     age_ms = attempt.get("load_age_ms")
     if age_ms is None:
@@ -196,7 +196,7 @@
     return f"load {attempt['load']}, {age_ms} ms old{others}"
 
 
-def _judge(fields: dict[str, Any]) -> str:
+def _describe_outcome(fields: dict[str, Any]) -> str:
     """Describe whether a request ran, from its status and target."""
     if fields["status"] in (503, 429, 408) and not fields.get("target"):
         return "It did not run: no target received it. The caller may retry."
@@ -209,12 +209,12 @@
     return "A target answered it."
 
 
-def _tell_beliefs(lines: list[LogLine], end: LogLine) -> Iterator[str]:
+def _describe_context(lines: list[LogLine], end: LogLine) -> Iterator[str]:
     """Yield what the entry logged shortly before on the request's targets, routing and store."""
     names = {attempt["target"] for attempt in end.fields.get("attempts", [])}
     for line in lines:
         age_s = end.at - line.at
-        if line.entry != end.entry or not 0 <= age_s <= BELIEF_WINDOW_S:
+        if line.entry != end.entry or not 0 <= age_s <= CONTEXT_WINDOW_S:
             continue
         is_about_target = line.part == "targets" and line.fields.get("target") in names
         if is_about_target or line.part in ("store", "routing", "process", "relay"):
--- a/halldoor/core/explaining/moves.py
+++ b/halldoor/core/explaining/moves.py
@@ -59,36 +59,36 @@
     """Collector of log lines about moves between regions."""
 
     def __init__(self) -> None:
-        self._told: defaultdict[tuple[float, str], list[LogLine]] = defaultdict(list)
+        self._lines_by_window: defaultdict[tuple[float, str], list[LogLine]] = defaultdict(list)
 
     def add(self, line: LogLine, since_start_s: float) -> None:
         """Add a log line; lines that are not about a move are ignored."""
         if line.part == "flow" and line.text == "Moved between regions.":
             window = int(since_start_s / WINDOW_S) * WINDOW_S
-            self._told[(window, str(line.fields.get("origin", "")))].append(line)
+            self._lines_by_window[(window, str(line.fields.get("origin", "")))].append(line)
 
     def list_moves(self) -> list[Moved]:
         """List the moves, those with most moved requests first."""
-        moves = [_sum_up(*key, lines) for key, lines in self._told.items()]
+        moves = [_build_move(*key, lines) for key, lines in self._lines_by_window.items()]
         return sorted(moves, key=lambda move: -move.part * sum(move.after.values()))
 
 
-def _sum_up(since_start_s: float, origin: str, lines: list[LogLine]) -> Moved:
+def _build_move(since_start_s: float, origin: str, lines: list[LogLine]) -> Moved:
     """Sum up the lines of several entries about one window."""
     fields = [line.fields for line in lines]
     return Moved(
         since_start_s,
         origin,
         len({line.entry for line in lines}),
-        _add_up(fields, "before"),
-        _add_up(fields, "after"),
+        _sum_counts(fields, "before"),
+        _sum_counts(fields, "after"),
         dict(Counter(str(f.get("reason", "")) for f in fields).most_common()),
         tuple(sorted({int(f["version"]) for f in fields if "version" in f})),
         max(int(f.get("store_age_ms", 0)) for f in fields),
     )
 
 
-def _add_up(fields: Iterable[dict[str, Any]], name: str) -> dict[str, int]:
+def _sum_counts(fields: Iterable[dict[str, Any]], name: str) -> dict[str, int]:
     """Add up the counts by region in one field of several lines."""
     total: Counter[str] = Counter()
     for one in fields:
@@ -105,14 +105,14 @@
         reasons = ", ".join(f"{reason} {n}" for reason, n in move.reasons.items())
         lines.append(
             f"{move.since_start_s:08.1f}  {move.origin or '?'}: {move.part:.2f} moved at "
-            f"{move.entries} entries ({reasons}); {_join(move.before)} before, "
-            f"{_join(move.after)} after; version {'/'.join(map(str, move.versions))}, "
+            f"{move.entries} entries ({reasons}); {_format_counts(move.before)} before, "
+            f"{_format_counts(move.after)} after; version {'/'.join(map(str, move.versions))}, "
             f"last contact with the store up to {move.oldest_ms} ms ago"
         )
     left = len(moves) - MOVES_SHOWN
     return [*lines, f"{left:>8}  smaller ones"] if left > 0 else lines
 
 
-def _join(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     """Format counts by region as text."""
     return " ".join(f"{region} {n}" for region, n in counts.items())
--- a/halldoor/core/explaining/report.py
+++ b/halldoor/core/explaining/report.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from halldoor.core.explaining.history import LogLine, date_lines, find_warmth
+from halldoor.core.explaining.history import LogLine, add_times_since_start, find_warmth
 from halldoor.core.explaining.moves import Moved, MoveTable, describe_moves
 from halldoor.core.explaining.withdrawals import (
     Withdrawal,
@@ -25,7 +25,7 @@
 """Least number of targets lost while running a request for it to be listed: one may be chance."""
 
 
-class Ended(StrEnum):
+class RequestOutcome(StrEnum):
     """How a request finished for its caller: in or over its aimed time, refused or failed."""
 
     IN_AIM = "in aim"
@@ -49,7 +49,7 @@
     """
 
     group: tuple[str, ...]
-    counts: dict[Ended, int]
+    counts: dict[RequestOutcome, int]
     median_ms: int
     high_ms: int
 
@@ -116,14 +116,14 @@
 
     line: LogLine
     stands_for: int
-    ended: Ended
+    ended: RequestOutcome
     since_start_s: float
 
 
 def build_report(lines: Iterable[LogLine]) -> Report:
     """Build the report from the log lines of one or several entries."""
     moves, withdrawals, requests = MoveTable(), WithdrawalTable(), []
-    for line, since_start_s in date_lines(lines):
+    for line, since_start_s in add_times_since_start(lines):
         moves.add(line, since_start_s)
         withdrawals.add(line)
         request = _read_request(line, since_start_s)
@@ -146,16 +146,16 @@
     fields = line.fields
     if line.part != "request" or not fields.get("service") or "status" not in fields:
         return None
-    return _Request(line, int(fields.get("stands_for", 1)), _judge(fields), since_start_s)
+    return _Request(line, int(fields.get("stands_for", 1)), _classify(fields), since_start_s)
 
 
-def _judge(fields: dict[str, Any]) -> Ended:
+def _classify(fields: dict[str, Any]) -> RequestOutcome:
     """Classify how a request finished from its status and time."""
     status = int(fields["status"])
     if status < 500:
         is_late = fields["took_ms"] > fields.get("aim_ms", fields["took_ms"])
-        return Ended.LATE if is_late else Ended.IN_AIM
-    return Ended.REFUSED if status == 503 else Ended.FAILED
+        return RequestOutcome.LATE if is_late else RequestOutcome.IN_AIM
+    return RequestOutcome.REFUSED if status == 503 else RequestOutcome.FAILED
 
 
 def _tally(
@@ -167,7 +167,7 @@
         groups[find_group(request)].append(request)
     tallies = []
     for group, members in sorted(groups.items()):
-        counts = dict.fromkeys(Ended, 0)
+        counts = dict.fromkeys(RequestOutcome, 0)
         for member in members:
             counts[member.ended] += member.stands_for
         times = [(int(m.line.fields["took_ms"]), m.stands_for) for m in members]
@@ -202,9 +202,9 @@
     """Count refused and failed requests by service and reason, the most frequent first."""
     counts: defaultdict[tuple[str, str], int] = defaultdict(int)
     for request in requests:
-        if request.ended in (Ended.REFUSED, Ended.FAILED):
+        if request.ended in (RequestOutcome.REFUSED, RequestOutcome.FAILED):
             fields = request.line.fields
-            counts[(str(fields["service"]), _shorten(fields))] += request.stands_for
+            counts[(str(fields["service"]), _format_reason(fields))] += request.stands_for
     ordered = sorted(counts.items(), key=lambda item: -item[1])
     return [(service, reason, count) for (service, reason), count in ordered]
 
@@ -234,7 +234,7 @@
     return sorted(found, key=lambda suspect: -suspect.targets)
 
 
-def _shorten(fields: dict[str, Any]) -> str:
+def _format_reason(fields: dict[str, Any]) -> str:
     """Return status and reason without the target's name, so that equal reasons are counted."""
     outcome = str(fields.get("outcome", ""))
     attempts = fields.get("attempts") or ()
@@ -291,10 +291,10 @@
 
 def _describe_tallies(tallies: Iterable[Tally]) -> list[str]:
     """Format tallies as a table."""
-    heads = "".join(f"{ended.value:>9}" for ended in Ended)
+    heads = "".join(f"{ended.value:>9}" for ended in RequestOutcome)
     lines = [f"{'':<16}{'n':>8}{heads}{'p50':>7}{'p90':>7}"]
     for tally in tallies:
-        counts = "".join(f"{tally.counts[ended]:>9}" for ended in Ended)
+        counts = "".join(f"{tally.counts[ended]:>9}" for ended in RequestOutcome)
         name = ", ".join(tally.group)
         lines.append(f"{name:<16}{tally.total:>8}{counts}{tally.median_ms:>7}{tally.high_ms:>7}")
     return lines
--- a/halldoor/core/explaining/withdrawals.py
+++ b/halldoor/core/explaining/withdrawals.py
@@ -19,7 +19,7 @@
 """Texts of the log lines in which an entry states that it sends no more requests to a target."""
 
 
-class Sending(NamedTuple):
+class SentRequest(NamedTuple):
     """A request that was sent to a target after its withdrawal.
 
     Attributes
@@ -61,7 +61,7 @@
     delays_s: tuple[float, ...]
     slowest: str
     unaware: int
-    last: Sending | None
+    last: SentRequest | None
 
 
 class _Run(NamedTuple):
@@ -71,7 +71,7 @@
     number: int
 
 
-class _Told(NamedTuple):
+class _StateLine(NamedTuple):
     """A log line that states whether a target is withdrawn, by a revision of the store."""
 
     run: _Run
@@ -109,7 +109,7 @@
         self._runs: dict[str, _Run] = {}
         self._offsets: dict[_Run, float] = {}
         self._began: dict[_Run, float] = {}
-        self._told: defaultdict[str, list[_Told]] = defaultdict(list)
+        self._state_lines: defaultdict[str, list[_StateLine]] = defaultdict(list)
         self._sent: defaultdict[str, list[tuple[_Run, float]]] = defaultdict(list)
         self._applied: defaultdict[_Run, list[tuple[float, int]]] = defaultdict(list)
 
@@ -121,10 +121,12 @@
             self._add_revision(run, line.at, int(fields["revision"]))
         match (line.part, line.text):
             case ("targets", text) if text in WITHDRAWAL_LINES or text == "Seen.":
-                told = _Told(run, line.at, int(fields.get("revision", 0)), text != "Seen.")
-                self._told[str(fields.get("target", ""))].append(told)
+                state_line = _StateLine(
+                    run, line.at, int(fields.get("revision", 0)), text != "Seen."
+                )
+                self._state_lines[str(fields.get("target", ""))].append(state_line)
             case ("request", "Ended."):
-                self._add_sendings(run, line)
+                self._add_attempts(run, line)
 
     def _add_revision(self, run: _Run, at: float, revision: int) -> None:
         """Record the time at which an entry had applied all changes up to a revision."""
@@ -146,7 +148,7 @@
         self._began.setdefault(run, line.at)
         return run
 
-    def _add_sendings(self, run: _Run, line: LogLine) -> None:
+    def _add_attempts(self, run: _Run, line: LogLine) -> None:
         """Record when a request was sent to each target, from the durations of its attempts."""
         ended = line.at
         for attempt in reversed(line.fields.get("attempts") or ()):
@@ -159,23 +161,23 @@
     def list_withdrawals(self) -> list[Withdrawal]:
         """List the withdrawals, those with the latest request to the target first."""
         found = [
-            self._sum_up(target, period)
-            for target, told in self._told.items()
-            for period in self._find_periods(told)
+            self._build_withdrawal(target, period)
+            for target, state_lines in self._state_lines.items()
+            for period in self._find_periods(state_lines)
         ]
         return sorted(found, key=_get_lateness, reverse=True)
 
-    def _find_time(self, run: _Run, at: float) -> float:
+    def _to_common_time(self, run: _Run, at: float) -> float:
         """Convert a time of one run to the lines' common clock, in seconds.
 
         For lines without a collector's time, the result is the time since the process started.
         """
         return at + self._offsets.get(run, -self._began[run])
 
-    def _find_periods(self, told: Sequence[_Told]) -> list[_Period]:
+    def _find_periods(self, state_lines: Sequence[_StateLine]) -> list[_Period]:
         """Return the periods in which a target was withdrawn."""
         periods: list[_Period] = []
-        dated = sorted((self._find_time(one.run, one.at), one) for one in told)
+        dated = sorted((self._to_common_time(one.run, one.at), one) for one in state_lines)
         for at, (run, _, revision, is_withdrawn) in dated:
             last = periods[-1] if periods else None
             is_open = last is not None and at < last.until
@@ -190,12 +192,12 @@
                 periods[-1] = last._replace(until=at, revision=revision)
         return periods
 
-    def _sum_up(self, target: str, period: _Period) -> Withdrawal:
+    def _build_withdrawal(self, target: str, period: _Period) -> Withdrawal:
         """Build the withdrawal of a period: when each entry knew, and the last request."""
-        ran = [r for r, at in self._began.items() if self._find_time(r, at) <= period.since]
-        known = {e: at for e, at in period.known.items() if e in {run.entry for run in ran}}
-        for run in ran:
-            applied_at = self._find_application(run, period)
+        runs = [r for r, at in self._began.items() if self._to_common_time(r, at) <= period.since]
+        known = {e: at for e, at in period.known.items() if e in {run.entry for run in runs}}
+        for run in runs:
+            applied_at = self._find_applied_at(run, period)
             if applied_at is not None:
                 known[run.entry] = min(applied_at, known.get(run.entry, math.inf))
         others = sorted(
@@ -207,31 +209,33 @@
             period.since,
             tuple(delay for delay, _ in others),
             others[-1][1] if others else "",
-            len({run.entry for run in ran} - known.keys()),
-            self._find_last(target, period, known),
+            len({run.entry for run in runs} - known.keys()),
+            self._find_last_request(target, period, known),
         )
 
-    def _find_application(self, run: _Run, period: _Period) -> float | None:
+    def _find_applied_at(self, run: _Run, period: _Period) -> float | None:
         """Return when a run had applied all changes up to the withdrawal; None if never.
 
         The line on the target itself may be missing: reading the whole store logs few targets, and
         lines get lost.
         """
         for at, revision in self._applied[run]:
-            applied_at = self._find_time(run, at)
+            applied_at = self._to_common_time(run, at)
             if period.since <= applied_at < period.until and revision >= period.revision:
                 return applied_at
         return None
 
-    def _find_last(self, target: str, period: _Period, known: dict[str, float]) -> Sending | None:
+    def _find_last_request(
+        self, target: str, period: _Period, known: dict[str, float]
+    ) -> SentRequest | None:
         """Return the last request that was sent to a target while it was withdrawn."""
-        dated = ((self._find_time(run, at), run.entry) for run, at in self._sent[target])
+        dated = ((self._to_common_time(run, at), run.entry) for run, at in self._sent[target])
         late = [(at, entry) for at, entry in dated if period.since < at < period.until]
         if not late:
             return None
         at, entry = max(late)
         own_s = at - known[entry] if entry in known else None
-        return Sending(entry, at - period.since, own_s)
+        return SentRequest(entry, at - period.since, own_s)
 
 
 def _get_lateness(withdrawal: Withdrawal) -> float:
--- a/halldoor/core/hall/health.py
+++ b/halldoor/core/hall/health.py
@@ -53,7 +53,7 @@
     reported: float
 
 
-class _Contact:
+class _TargetHealth:
     """Health of one target: outcomes of this entry's requests, and reports."""
 
     def __init__(self) -> None:
@@ -71,63 +71,63 @@
     """Health of the targets of one hall, by name."""
 
     def __init__(self) -> None:
-        self._contacts: dict[str, _Contact] = {}
+        self._by_target: dict[str, _TargetHealth] = {}
 
-    def _get(self, target: str) -> _Contact:
-        return self._contacts.setdefault(target, _Contact())
+    def _get_or_add(self, target: str) -> _TargetHealth:
+        return self._by_target.setdefault(target, _TargetHealth())
 
     def add_success(self, target: str, latency_s: float) -> None:
         """Record a complete answer and its latency; it ends an ejection."""
-        contact = self._get(target)
-        contact.failures = 0
-        contact.ejections = 0
-        contact.ejected_until = 0.0
-        old = contact.latency_s or latency_s
-        contact.latency_s = old + LATENCY_WEIGHT * (latency_s - old)
+        health = self._get_or_add(target)
+        health.failures = 0
+        health.ejections = 0
+        health.ejected_until = 0.0
+        old = health.latency_s or latency_s
+        health.latency_s = old + LATENCY_WEIGHT * (latency_s - old)
 
     def add_failure(self, target: str, *, now: float) -> None:
         """Record a failure; `FAILURES_TO_EJECT` in a row eject the target, longer each time."""
-        contact = self._get(target)
-        contact.failures += 1
-        if contact.failures >= FAILURES_TO_EJECT:
-            contact.failures = 0
-            pause_s = min(EJECT_LIMIT_S, EJECT_S * 2**contact.ejections)
-            contact.ejections += 1
-            contact.ejected_until = now + pause_s
+        health = self._get_or_add(target)
+        health.failures += 1
+        if health.failures >= FAILURES_TO_EJECT:
+            health.failures = 0
+            eject_s = min(EJECT_LIMIT_S, EJECT_S * 2**health.ejections)
+            health.ejections += 1
+            health.ejected_until = now + eject_s
 
     def add_shed(self, target: str, *, now: float) -> None:
         """Record that the target shed a request: eject it briefly, as it is full but not broken."""
-        contact = self._get(target)
-        contact.ejected_until = max(contact.ejected_until, now + 0.1)
+        health = self._get_or_add(target)
+        health.ejected_until = max(health.ejected_until, now + 0.1)
 
     def add_report(
         self, target: str, *, now: float, is_healthy: bool, is_leaving: bool, load: float = 0.0
     ) -> None:
         """Record the result of a probe by this entry or a peer."""
-        contact = self._get(target)
-        contact.reported = load
+        health = self._get_or_add(target)
+        health.reported = load
         if is_leaving:
-            contact.leaving_until = now + LEAVING_MEMORY_S
-        contact.unhealthy_until = 0.0 if is_healthy else now + REPORT_MEMORY_S
+            health.leaving_until = now + LEAVING_MEMORY_S
+        health.unhealthy_until = 0.0 if is_healthy else now + REPORT_MEMORY_S
 
     def mark_leaving(self, target: str, *, now: float) -> None:
         """Record that a target is leaving, from any source."""
-        self._get(target).leaving_until = now + LEAVING_MEMORY_S
+        self._get_or_add(target).leaving_until = now + LEAVING_MEMORY_S
 
     def mark_cold(self, target: str, *, now: float) -> None:
         """Start the ramp of a target that is new or has come back."""
-        self._get(target).cold_since = now
+        self._get_or_add(target).cold_since = now
 
     def is_leaving(self, target: str, now: float) -> bool:
         """Check whether a target is leaving and must get no new requests."""
-        return self._get(target).leaving_until > now
+        return self._get_or_add(target).leaving_until > now
 
-    def has_room_to_try(self, target: str, now: float) -> bool:
+    def is_healthy(self, target: str, now: float) -> bool:
         """Check whether a target is neither ejected nor reported as unhealthy."""
-        contact = self._get(target)
-        return contact.ejected_until <= now and contact.unhealthy_until <= now
+        health = self._get_or_add(target)
+        return health.ejected_until <= now and health.unhealthy_until <= now
 
-    def filter_usable(self, targets: Sequence[str], now: float) -> list[str]:
+    def select_usable(self, targets: Sequence[str], now: float) -> list[str]:
         """Return the healthy targets that are not leaving.
 
         If most targets look broken, the measurements are more likely wrong than the targets: then
@@ -135,18 +135,18 @@
         set.
         """
         staying = [t for t in targets if not self.is_leaving(t, now)]
-        good = [t for t in staying if self.has_room_to_try(t, now)]
-        return good if len(good) * 2 >= len(staying) else staying
+        healthy = [t for t in staying if self.is_healthy(t, now)]
+        return healthy if len(healthy) * 2 >= len(staying) else staying
 
     def get_ramp(self, target: str, now: float) -> float:
         """Return the share of a target's slots to use, which rises to 1 while it is cold."""
-        since = self._get(target).cold_since
+        since = self._get_or_add(target).cold_since
         if since is None or now - since >= RAMP_S:
             return 1.0
         return RAMP_FLOOR + (1.0 - RAMP_FLOOR) * (now - since) / RAMP_S
 
     def view(self, target: str, *, in_flight: int, share: int, now: float) -> TargetView:
         """Build the view of a target for the routing policy."""
-        contact = self._get(target)
+        health = self._get_or_add(target)
         ramp = self.get_ramp(target, now)
-        return TargetView(target, in_flight, share, contact.latency_s, ramp, contact.reported)
+        return TargetView(target, in_flight, share, health.latency_s, ramp, health.reported)
--- a/halldoor/core/hall/link.py
+++ b/halldoor/core/hall/link.py
@@ -43,8 +43,8 @@
 
     def set_limit(self, limit: LinkLimit, *, entries: int, index: int) -> None:
         """Set another limit; requests in flight stay counted."""
-        self.requests_limit = _divide(limit.requests, entries, index)
-        self.bytes_limit = _divide(limit.bytes, entries, index)
+        self.requests_limit = _divide_evenly(limit.requests, entries, index)
+        self.bytes_limit = _divide_evenly(limit.bytes, entries, index)
 
     def reserve(self, size: int) -> bool:
         """Reserve the link for a request with ``size`` body bytes; return False if it is full."""
@@ -60,7 +60,7 @@
         self.bytes -= size
 
 
-def _divide(limit: int, entries: int, index: int) -> int:
+def _divide_evenly(limit: int, entries: int, index: int) -> int:
     """Return one entry's part of an evenly divided limit; the first entries get the remainder."""
-    whole, rest = divmod(limit, max(1, entries))
-    return whole + (1 if index < rest else 0)
+    whole, remainder = divmod(limit, max(1, entries))
+    return whole + (1 if index < remainder else 0)
--- a/halldoor/core/hall/membership.py
+++ b/halldoor/core/hall/membership.py
@@ -72,7 +72,7 @@
     reports: tuple[TargetReport, ...] = ()
 
     @property
-    def age(self) -> tuple[int, int]:
+    def order_key(self) -> tuple[int, int]:
         """Return the key by which the newer of two records of the same name is found."""
         return self.generation, self.heartbeat
 
@@ -89,31 +89,31 @@
     def __init__(self, me: Member) -> None:
         self.me = me
         self._members: dict[str, Member] = {}
-        self._heard: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
         self._sent: dict[str, dict[str, tuple[int, int]]] = {}
         self.suspect_after_s = SUSPECT_AFTER_S
 
-    def beat(self, **changes: Any) -> None:
+    def advance_heartbeat(self, **changes: Any) -> None:
         """Advance this entry's heartbeat, and its version if any of ``changes`` is new."""
         me = self.me._replace(**changes)
         version = self.me.version + (me != self.me)
         self.me = me._replace(heartbeat=self.me.heartbeat + 1, version=version)
 
-    def adopt(self, members: Iterable[Member], *, now: float) -> None:
+    def merge_records(self, members: Iterable[Member], *, now: float) -> None:
         """Merge the records received from a peer: newer ones replace the local ones."""
         for member in members:
             if member.name == self.me.name:
-                self._outlive(member)
+                self._raise_generation(member)
                 continue
             known = self._members.get(member.name)
             if known is not None and member.incarnation != known.incarnation:
                 # The new process lacks the records that were sent to the old one.
                 self.forget_sent(member.name)
-            if known is None or member.age > known.age:
+            if known is None or member.order_key > known.order_key:
                 self._members[member.name] = _keep_reports(member, known)
-                self._heard[member.name] = now
+                self._received_at[member.name] = now
 
-    def _outlive(self, member: Member) -> None:
+    def _raise_generation(self, member: Member) -> None:
         """Raise the own generation above that of an earlier process of the same name.
 
         The generation derives from the clock at the start, which may have been set back.
@@ -125,11 +125,15 @@
 
     def list_alive(self, now: float) -> list[Member]:
         """List the peers with a recent heartbeat, including those that are leaving."""
-        return [m for n, m in self._members.items() if now - self._heard[n] <= self.suspect_after_s]
+        return [
+            m
+            for n, m in self._members.items()
+            if now - self._received_at[n] <= self.suspect_after_s
+        ]
 
     def is_alive(self, name: str, now: float) -> bool:
         """Check whether a peer's last heartbeat is recent."""
-        return name in self._heard and now - self._heard[name] <= self.suspect_after_s
+        return name in self._received_at and now - self._received_at[name] <= self.suspect_after_s
 
     def list_leaving(self) -> list[str]:
         """List the peers whose newest record states that they are leaving."""
@@ -139,17 +143,19 @@
         """Return the record of a member, alive or not; None if there is none."""
         return self.me if name == self.me.name else self._members.get(name)
 
-    def list_news(self, peer: str) -> list[Member]:
+    def list_updates(self, peer: str) -> list[Member]:
         """List the hall's records to send to a peer; without reports where it has these already."""
         sent = self._sent.setdefault(peer, {})
-        news = []
+        updates = []
         for member in [self.me, *self._members.values()]:
             if member.hall != self.me.hall:
                 continue
             stamp = (member.generation, member.version)
-            news.append(member if sent.get(member.name) != stamp else member._replace(reports=()))
+            updates.append(
+                member if sent.get(member.name) != stamp else member._replace(reports=())
+            )
             sent[member.name] = stamp
-        return news
+        return updates
 
     def forget_sent(self, peer: str) -> None:
         """Forget what was sent to a peer, so that complete records are sent to it again."""
@@ -165,8 +171,8 @@
         """
         members = [m for m in [self.me, *self.list_alive(now)] if not m.is_leaving]
         # Entries that can't reach the platform are chosen only if no entry can.
-        seeing = [m.name for m in members if m.sees_platform]
-        names = seeing or [m.name for m in members] or [self.me.name]
+        connected = [m.name for m in members if m.sees_platform]
+        names = connected or [m.name for m in members] or [self.me.name]
         return rank(f"relay\0{revision}", names)[:count]
 
 
--- a/halldoor/core/hall/policy.py
+++ b/halldoor/core/hall/policy.py
@@ -60,12 +60,12 @@
 
     def order(self, views: Sequence[TargetView]) -> list[str]:
         """Order the better of two random targets first, and the others by cost."""
-        rest = list(views)
-        self._random.shuffle(rest)
-        if len(rest) >= 2 and _cost(rest[1]) < _cost(rest[0]):
-            rest[0], rest[1] = rest[1], rest[0]
+        remaining = list(views)
+        self._random.shuffle(remaining)
+        if len(remaining) >= 2 and _estimate_cost(remaining[1]) < _estimate_cost(remaining[0]):
+            remaining[0], remaining[1] = remaining[1], remaining[0]
         # The others are used only if the first has no free slot.
-        return [v.name for v in [*rest[:1], *sorted(rest[1:], key=_cost)]]
+        return [v.name for v in [*remaining[:1], *sorted(remaining[1:], key=_estimate_cost)]]
 
 
 class RandomOrder(Policy):
@@ -101,11 +101,11 @@
         return [v.name for v in sorted(views, key=lambda v: (v.reported, v.name))]
 
 
-def _cost(view: TargetView) -> float:
+def _estimate_cost(view: TargetView) -> float:
     """Estimate the cost of one more request on a target.
 
     The cost uses this entry's own counts, since reports lag.  A cold target counts as smaller.
     """
     room = max(1, view.share) * view.ramp
-    fill = (view.in_flight + 1) / room
-    return fill * max(view.latency_s, 0.001)
+    utilization = (view.in_flight + 1) / room
+    return utilization * max(view.latency_s, 0.001)
--- a/halldoor/core/hall/slots.py
+++ b/halldoor/core/hall/slots.py
@@ -127,34 +127,38 @@
         self._rest_s = dict(rest_s)
         for target, count in slots.items():
             homes = assign_homes(target, count, roster)
-            mine = frozenset(i for i, home in enumerate(homes) if home == self.me)
+            own_numbers = frozenset(i for i, home in enumerate(homes) if home == self.me)
             earlier = [assign_homes(target, count, r) for r in former]
-            waits = {i: frozenset(h[i] for h in earlier if h) - {self.me} for i in mine}
-            self._adopt(target, waits, now=now)
+            former_homes = {
+                i: frozenset(h[i] for h in earlier if h) - {self.me} for i in own_numbers
+            }
+            self._replace_slots(target, former_homes, now=now)
         for target in [t for t in self._homes if t not in slots]:
-            self._adopt(target, {}, now=now)
+            self._replace_slots(target, {}, now=now)
 
-    def _adopt(self, target: str, waits: Mapping[int, frozenset[str]], *, now: float) -> None:
+    def _replace_slots(
+        self, target: str, former_homes: Mapping[int, frozenset[str]], *, now: float
+    ) -> None:
         """Replace this entry's slots of one target.
 
         Parameters
         ----------
-        waits : mapping of int to frozenset of str
+        former_homes : mapping of int to frozenset of str
             Number of each slot, with the former home entries that must adopt the roster first.
         """
-        known = self._homes.get(target, frozenset())
+        previous = self._homes.get(target, frozenset())
         free = self._free.setdefault(target, {})
-        for i in known - waits.keys():
+        for i in previous - former_homes.keys():
             free.pop(i, None)
             self._pending.pop(SlotKey(target, i), None)
         lent = {loan.key for loan in self._loans.values()}
-        self._homes[target] = frozenset(waits)
-        for i in waits.keys() - known:
+        self._homes[target] = frozenset(former_homes)
+        for i in former_homes.keys() - previous:
             key = SlotKey(target, i)
             if key in self._busy or key in lent:
                 continue
-            if waits[i]:
-                self._pending[key] = waits[i]
+            if former_homes[i]:
+                self._pending[key] = former_homes[i]
             else:
                 free[i] = now + _add_margin(self._rest_s.get(target, 0.0))
 
@@ -189,7 +193,7 @@
         Hold or None
             None if no own slot is free.
         """
-        index = self._pick(target, now)
+        index = self._find_free(target, now)
         if index is None:
             return None
         del self._free[target][index]
@@ -207,11 +211,11 @@
             may still be running at the target.
         """
         if self._busy.pop(key, None) is not None:
-            self._put_back(key, rest_until)
+            self._return_slot(key, rest_until)
 
     def lend(self, target: str, borrower: str, *, duration_s: float, now: float) -> Loan | None:
         """Lend an idle slot to a peer for ``duration_s`` of its clock; None if no slot is idle."""
-        index = self._pick(target, now)
+        index = self._find_free(target, now)
         if index is None:
             return None
         del self._free[target][index]
@@ -227,31 +231,31 @@
         loan = self._loans.get(number)
         if loan is not None and loan.borrower == borrower:
             del self._loans[number]
-            self._put_back(loan.key, rest_until)
+            self._return_slot(loan.key, rest_until)
 
     def expire_loans(self, now: float) -> list[Loan]:
         """End and return the loans that have expired."""
-        lapsed = [loan for loan in self._loans.values() if loan.ends <= now]
-        for loan in lapsed:
+        expired = [loan for loan in self._loans.values() if loan.ends <= now]
+        for loan in expired:
             del self._loans[loan.number]
-            self._put_back(loan.key, 0.0)
-        return lapsed
+            self._return_slot(loan.key, 0.0)
+        return expired
 
-    def _pick(self, target: str, now: float) -> int | None:
+    def _find_free(self, target: str, now: float) -> int | None:
         """Return the number of a free slot that may be used now; None if there is none."""
         for index, rest_until in self._free.get(target, {}).items():
             if rest_until <= now:
                 return index
         return None
 
-    def _put_back(self, key: SlotKey, rest_until: float) -> None:
+    def _return_slot(self, key: SlotKey, rest_until: float) -> None:
         """Make a slot free again if this entry is still its home."""
         if key.number in self._homes.get(key.target, frozenset()):
             self._free[key.target][key.number] = rest_until
 
     def count_free(self, target: str, now: float) -> int:
         """Count own slots that could be acquired now."""
-        return sum(1 for rest in self._free.get(target, {}).values() if rest <= now)
+        return sum(1 for usable_at in self._free.get(target, {}).values() if usable_at <= now)
 
     def count_busy(self, target: str) -> int:
         """Count own slots in use by this entry."""
@@ -261,7 +265,7 @@
         """Count own slots lent to peers."""
         return sum(1 for loan in self._loans.values() if loan.key.target == target)
 
-    def count_home(self, target: str) -> int:
+    def count_own(self, target: str) -> int:
         """Count the slots of a target that this entry is home to."""
         return len(self._homes.get(target, frozenset()))
 
--- a/halldoor/core/orders/claim.py
+++ b/halldoor/core/orders/claim.py
@@ -45,7 +45,7 @@
     claims: dict[str, Claim] = {}
 
 
-class Claimed(NamedTuple):
+class ClaimOutcome(NamedTuple):
     """The outcome of claiming ids in one shard."""
 
     shard: Shard
@@ -69,7 +69,7 @@
     return hash_key(operation) % SHARDS
 
 
-def to_key(shard: int) -> str:
+def format_shard_key(shard: int) -> str:
     """Return the platform key of a shard."""
     return f"claims/{shard:02d}"
 
@@ -84,7 +84,7 @@
     return msgspec.msgpack.encode(shard)
 
 
-def claim(shard: Shard, operations: Iterable[str], me: Claim) -> Claimed:
+def claim_operations(shard: Shard, operations: Iterable[str], own_claim: Claim) -> ClaimOutcome:
     """Claim operation ids for one entry process; ids that are claimed already keep their claim.
 
     Returns
@@ -101,12 +101,12 @@
         elif time_ms is None or time_ms <= shard.floor_ms:
             holders[operation] = None
         else:
-            claims[operation] = me
-            holders[operation] = me
+            claims[operation] = own_claim
+            holders[operation] = own_claim
     floor_ms = shard.floor_ms
     if len(claims) > CLAIMS_PER_SHARD:
         claims, floor_ms = _drop_oldest(claims, floor_ms, keep=set(holders))
-    return Claimed(Shard(floor_ms, claims), holders)
+    return ClaimOutcome(Shard(floor_ms, claims), holders)
 
 
 def _drop_oldest(
@@ -120,5 +120,5 @@
     by_age = sorted(claims, key=lambda op: parse_time_ms(op) or 0)
     dropped = [op for op in by_age[: len(by_age) // 2] if op not in keep]
     floor_ms = max([floor_ms, *(parse_time_ms(op) or 0 for op in dropped)])
-    gone = set(dropped)
-    return {op: holder for op, holder in claims.items() if op not in gone}, floor_ms
+    dropped_ids = set(dropped)
+    return {op: holder for op, holder in claims.items() if op not in dropped_ids}, floor_ms
--- a/halldoor/core/orders/ticket.py
+++ b/halldoor/core/orders/ticket.py
@@ -59,7 +59,7 @@
     body: bytes
 
 
-class Entry(NamedTuple):
+class TicketRecord(NamedTuple):
     """The ledger's record of one ticket.
 
     Attributes
@@ -144,10 +144,10 @@
         self._memory_s = memory_s
         self._capacity = capacity
         self._body_limit = body_limit
-        self._next = 1
+        self._next_sequence = 1
         # In order of issue, which is also the order of expiry.
-        self._lines: dict[int, Entry] = {}
-        self._latest: dict[str, int] = {}
+        self._records: dict[int, TicketRecord] = {}
+        self._latest_sequence: dict[str, int] = {}
 
     def issue(self, operation: str, *, now: float) -> str | None:
         """Issue a ticket for an operation; return None if the ledger is full of tickets in use.
@@ -161,27 +161,27 @@
         now : float
             Monotonic time, in seconds.
         """
-        known = self._lines.get(self._latest.get(operation, 0))
-        if known is not None and known.state != State.NOT_RUN:
-            return encode_ticket(known.ticket, self._key)
+        previous = self._records.get(self._latest_sequence.get(operation, 0))
+        if previous is not None and previous.state != State.NOT_RUN:
+            return encode_ticket(previous.ticket, self._key)
         if not self._make_room(now):
             return None
-        sequence = self._next
-        self._next += 1
+        sequence = self._next_sequence
+        self._next_sequence += 1
         name = operation or f"{self.incarnation}-{sequence}"
         ticket = Ticket(self.issuer, self.incarnation, sequence, name)
-        attempt = known.attempt + 1 if known is not None else 1
+        attempt = previous.attempt + 1 if previous is not None else 1
         expires = now + self._lifetime_s
-        self._lines[sequence] = Entry(ticket, State.ISSUED, expires, None, None, attempt)
-        self._latest[name] = sequence
+        self._records[sequence] = TicketRecord(ticket, State.ISSUED, expires, None, None, attempt)
+        self._latest_sequence[name] = sequence
         return encode_ticket(ticket, self._key)
 
     def is_genuine(self, ticket: Ticket, payload: bytes, mac: bytes) -> bool:
         """Check whether this process issued the ticket."""
-        wanted = hmac.new(self._key, payload, sha256).digest()[:_MAC_BYTES]
-        return ticket.incarnation == self.incarnation and hmac.compare_digest(mac, wanted)
+        expected = hmac.new(self._key, payload, sha256).digest()[:_MAC_BYTES]
+        return ticket.incarnation == self.incarnation and hmac.compare_digest(mac, expected)
 
-    def take(self, ticket: Ticket, *, now: float) -> Entry | Refusal:
+    def mark_sent(self, ticket: Ticket, *, now: float) -> TicketRecord | Refusal:
         """Mark a ticket as sent if it is unused, so that only one caller may send the operation.
 
         Returns
@@ -190,36 +190,36 @@
             A record in state SENT if the caller may send the operation now; one in state DONE if
             it ran and the kept answer is to be returned; else a refusal.
         """
-        line = self._lines.get(ticket.sequence)
-        if line is None:
+        record = self._records.get(ticket.sequence)
+        if record is None:
             return refuse_unknown(
                 Reason.TICKET_USED,
                 "This ticket is older than what its issuer remembers. Look up whether it ran.",
             )
-        if line.state == State.ISSUED:
-            if line.expires <= now:
+        if record.state == State.ISSUED:
+            if record.expires <= now:
                 return self.settle_not_run(
                     ticket,
                     refuse(Reason.BAD_TICKET, "The ticket ran out unused. Get a new ticket."),
                 )
-            line = line._replace(state=State.SENT)
-            self._lines[ticket.sequence] = line
-            return line
-        return self._repeat(line)
+            record = record._replace(state=State.SENT)
+            self._records[ticket.sequence] = record
+            return record
+        return self._repeat_outcome(record)
 
-    def _repeat(self, line: Entry) -> Entry | Refusal:
+    def _repeat_outcome(self, record: TicketRecord) -> TicketRecord | Refusal:
         """Return the outcome of a ticket that was used before."""
-        if line.state == State.SENT:
+        if record.state == State.SENT:
             return Refusal(
                 Reason.STILL_RUNNING,
                 Ran.UNKNOWN,
                 "This operation is running. Repeat the call with the same ticket for its answer.",
                 1.0,
             )
-        if line.state == State.DONE and line.answer is not None:
-            return line
-        if line.refusal is not None:
-            return line.refusal
+        if record.state == State.DONE and record.answer is not None:
+            return record
+        if record.refusal is not None:
+            return record.refusal
         return refuse_unknown(
             Reason.TICKET_USED,
             "This operation ran and its answer was too large to keep. Look up its result.",
@@ -249,13 +249,13 @@
         self, ticket: Ticket, state: State, answer: Answer | None, refusal: Refusal | None
     ) -> None:
         """Set the final state of a ticket that has none yet."""
-        line = self._lines.get(ticket.sequence)
-        if line is not None and line.state in (State.ISSUED, State.SENT):
-            self._lines[ticket.sequence] = line._replace(
+        record = self._records.get(ticket.sequence)
+        if record is not None and record.state in (State.ISSUED, State.SENT):
+            self._records[ticket.sequence] = record._replace(
                 state=state, answer=answer, refusal=refusal
             )
 
-    def renew(self, operation: str, *, now: float) -> str:
+    def issue_retry(self, operation: str, *, now: float) -> str:
         """Issue a ticket for the next attempt after one that did not run; empty if full."""
         return self.issue(operation, now=now) or ""
 
@@ -264,25 +264,27 @@
 
         Records of running operations and of unexpired unused tickets are never dropped.
         """
-        for sequence, line in list(self._lines.items()):
-            is_old = line.expires + self._memory_s <= now
-            if not is_old and len(self._lines) < self._capacity:
+        for sequence, record in list(self._records.items()):
+            is_old = record.expires + self._memory_s <= now
+            if not is_old and len(self._records) < self._capacity:
                 break
-            if line.state == State.SENT or (line.state == State.ISSUED and line.expires > now):
+            if record.state == State.SENT or (
+                record.state == State.ISSUED and record.expires > now
+            ):
                 continue
-            self._forget(sequence, line)
-        return len(self._lines) < self._capacity
+            self._drop(sequence, record)
+        return len(self._records) < self._capacity
 
-    def _forget(self, sequence: int, line: Entry) -> None:
+    def _drop(self, sequence: int, record: TicketRecord) -> None:
         """Drop the record of one ticket."""
-        del self._lines[sequence]
-        if self._latest.get(line.ticket.operation) == sequence:
-            del self._latest[line.ticket.operation]
+        del self._records[sequence]
+        if self._latest_sequence.get(record.ticket.operation) == sequence:
+            del self._latest_sequence[record.ticket.operation]
 
-    def find(self, operation: str) -> Entry | None:
+    def find(self, operation: str) -> TicketRecord | None:
         """Return the record of the latest ticket of an operation; None if there is none."""
-        return self._lines.get(self._latest.get(operation, 0))
+        return self._records.get(self._latest_sequence.get(operation, 0))
 
     def count_running(self) -> int:
         """Count the operations that were sent and have no outcome yet."""
-        return sum(1 for line in self._lines.values() if line.state == State.SENT)
+        return sum(1 for record in self._records.values() if record.state == State.SENT)
--- a/halldoor/core/placement.py
+++ b/halldoor/core/placement.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-_SPACE = float(1 << 64)
+_HASH_RANGE = float(1 << 64)
 
 
 def hash_key(*parts: str) -> int:
@@ -23,9 +23,9 @@
     return [name for _, name in sorted(zip(hashes, names, strict=True), reverse=True)]
 
 
-def to_unit(key: str) -> float:
+def hash_to_unit(key: str) -> float:
     """Return a number in [0, 1) that depends only on the key."""
-    return hash_key(key) / _SPACE
+    return hash_key(key) / _HASH_RANGE
 
 
 def hash_pairs(key: str, members: Iterable[bytes]) -> list[int]:
@@ -36,10 +36,10 @@
     members : iterable of bytes
         Encoded names of the members.
     """
-    begun = blake2b(key.encode() + b"\0", digest_size=8)
+    key_hash = blake2b(key.encode() + b"\0", digest_size=8)
     hashes = []
     for member in members:
-        pair = begun.copy()
-        pair.update(member)
-        hashes.append(int.from_bytes(pair.digest(), "big"))
+        pair_hash = key_hash.copy()
+        pair_hash.update(member)
+        hashes.append(int.from_bytes(pair_hash.digest(), "big"))
     return hashes
--- a/halldoor/core/quarantine/evidence.py
+++ b/halldoor/core/quarantine/evidence.py
@@ -11,11 +11,11 @@
 
 from halldoor.core.quarantine.settings import QuarantineSettings
 
-ENDS_KEPT = 16
+CRASHES_KEPT = 16
 """Newest crashes that are kept for one request; more than are needed to block it."""
 
 
-class TargetEnd(NamedTuple):
+class TargetCrash(NamedTuple):
     """A target that crashed while it ran a request.
 
     Attributes
@@ -50,19 +50,19 @@
     """
 
     digest: str
-    ends: tuple[TargetEnd, ...]
+    ends: tuple[TargetCrash, ...]
     cleared: tuple[str, ...] = ()
     was_sound: bool = False
 
 
-class _End(NamedTuple):
+class _Crash(NamedTuple):
     """A crash, dated by the clock of this entry (``at``, in seconds)."""
 
     caller: str
     at: float
 
 
-class Case:
+class CrashHistory:
     """The crashes and answers of one request that an entry knows of.
 
     Attributes
@@ -73,89 +73,91 @@
 
     def __init__(self, digest: str) -> None:
         self.digest = digest
-        self._ends: dict[str, _End] = {}
+        self._crashes: dict[str, _Crash] = {}
         self._cleared: set[str] = set()
-        self._was_sound = False
-        self.has_own_end = False
+        self._was_answered = False
+        self.has_own_crash = False
 
     @classmethod
-    def from_evidence(cls, evidence: Evidence, now: float) -> Case:
+    def from_evidence(cls, evidence: Evidence, now: float) -> CrashHistory:
         """Build a history that holds the given evidence only."""
         case = cls(evidence.digest)
         case.merge(evidence, now)
         return case
 
-    def add_end(self, target: str, caller: str, at: float) -> bool:
+    def add_crash(self, target: str, caller: str, at: float) -> bool:
         """Add a crashed target; return False if its crash is already recorded."""
-        if target in self._ends:
+        if target in self._crashes:
             return False
-        self._ends[target] = _End(caller, at)
-        while len(self._ends) > ENDS_KEPT:
-            self._drop(min(self._ends, key=lambda name: self._ends[name].at))
+        self._crashes[target] = _Crash(caller, at)
+        while len(self._crashes) > CRASHES_KEPT:
+            self._drop(min(self._crashes, key=lambda name: self._crashes[name].at))
         return True
 
-    def clear_before(self, answered_at: float) -> bool:
+    def record_answer(self, answered_at: float) -> bool:
         """Record an answer, which clears the crashes before it; return False if nothing changes."""
-        earlier = {t for t, end in self._ends.items() if end.at < answered_at} - self._cleared
-        is_news = bool(earlier) or not self._was_sound
+        earlier = {
+            t for t, crash in self._crashes.items() if crash.at < answered_at
+        } - self._cleared
+        has_changed = bool(earlier) or not self._was_answered
         self._cleared |= earlier
-        self._was_sound = True
-        return is_news
+        self._was_answered = True
+        return has_changed
 
     def merge(self, evidence: Evidence, now: float) -> bool:
         """Merge evidence of another entry; return False if it adds nothing new."""
-        is_news = False
-        for target, caller, age_s in evidence.ends[:ENDS_KEPT]:
-            is_news |= self.add_end(target, caller, now - max(0.0, age_s))
-        cleared = set(evidence.cleared) & self._ends.keys()
-        is_news |= not cleared <= self._cleared
+        has_changed = False
+        for target, caller, age_s in evidence.ends[:CRASHES_KEPT]:
+            has_changed |= self.add_crash(target, caller, now - max(0.0, age_s))
+        cleared = set(evidence.cleared) & self._crashes.keys()
+        has_changed |= not cleared <= self._cleared
         self._cleared |= cleared
-        is_news |= evidence.was_sound and not self._was_sound
-        self._was_sound |= evidence.was_sound
-        return is_news
+        has_changed |= evidence.was_sound and not self._was_answered
+        self._was_answered |= evidence.was_sound
+        return has_changed
 
-    def forget_before(self, at: float) -> None:
+    def remove_before(self, at: float) -> None:
         """Remove the crashes before a time."""
-        for target in [t for t, end in self._ends.items() if end.at < at]:
+        for target in [t for t, crash in self._crashes.items() if crash.at < at]:
             self._drop(target)
 
     def _drop(self, target: str) -> None:
         """Remove the crash of a target."""
-        del self._ends[target]
+        del self._crashes[target]
         self._cleared.discard(target)
 
     def build_evidence(self, now: float) -> Evidence:
         """Build the evidence that is sent to other entries or to the store."""
         ends = tuple(
-            TargetEnd(target, caller, max(0.0, now - at))
-            for target, (caller, at) in self._ends.items()
+            TargetCrash(target, caller, max(0.0, now - at))
+            for target, (caller, at) in self._crashes.items()
         )
-        return Evidence(self.digest, ends, tuple(sorted(self._cleared)), self._was_sound)
+        return Evidence(self.digest, ends, tuple(sorted(self._cleared)), self._was_answered)
 
     def is_covered_by(self, evidence: Evidence) -> bool:
         """Check whether the evidence contains everything in this history."""
         return (
-            self._ends.keys() <= {end.target for end in evidence.ends}
+            self._crashes.keys() <= {crash.target for crash in evidence.ends}
             and self._cleared <= set(evidence.cleared)
-            and evidence.was_sound >= self._was_sound
+            and evidence.was_sound >= self._was_answered
         )
 
-    def _list_blamed(self) -> list[_End]:
+    def _list_blamed(self) -> list[_Crash]:
         """List the crashes that the request is blamed for (not cleared), oldest first."""
-        blamed = [end for target, end in self._ends.items() if target not in self._cleared]
-        return sorted(blamed, key=lambda end: end.at)
+        blamed = [crash for target, crash in self._crashes.items() if target not in self._cleared]
+        return sorted(blamed, key=lambda crash: crash.at)
 
-    def _find_limit(self, settings: QuarantineSettings) -> int:
+    def _get_limit(self, settings: QuarantineSettings) -> int:
         """Return the number of crashes that blocks the request."""
-        return settings.limit_once_sound if self._was_sound else settings.limit
+        return settings.limit_once_sound if self._was_answered else settings.limit
 
-    def count_ends(self) -> int:
+    def count_crashes(self) -> int:
         """Count the crashes that the request is blamed for."""
-        return len(self._ends) - len(self._cleared)
+        return len(self._crashes) - len(self._cleared)
 
     def is_blocked(self, settings: QuarantineSettings) -> bool:
         """Check whether the request is blocked for at least one caller."""
-        return bool(settings.limit) and self.count_ends() >= self._find_limit(settings)
+        return bool(settings.limit) and self.count_crashes() >= self._get_limit(settings)
 
     def is_blocked_for(self, caller: str, settings: QuarantineSettings) -> bool:
         """Check whether the request is blocked for a caller.
@@ -170,12 +172,12 @@
 
     def list_callers(self) -> set[str]:
         """Return the callers whose attempts crashed targets."""
-        return {end.caller for end in self._list_blamed()}
+        return {crash.caller for crash in self._list_blamed()}
 
     def find_blocked_at(self, settings: QuarantineSettings) -> float:
         """Return the time of the crash that blocked the request, which must be blocked."""
-        return self._list_blamed()[self._find_limit(settings) - 1].at
+        return self._list_blamed()[self._get_limit(settings) - 1].at
 
     def find_blocked_until(self, settings: QuarantineSettings) -> float:
         """Return when enough crashes expire that a blocked request is unblocked."""
-        return self._list_blamed()[-self._find_limit(settings)].at + settings.memory_s
+        return self._list_blamed()[-self._get_limit(settings)].at + settings.memory_s
--- a/halldoor/core/quarantine/identity.py
+++ b/halldoor/core/quarantine/identity.py
@@ -58,12 +58,12 @@
         Announced length of the body where ``body`` is only its beginning, else empty.
     """
     name = host.partition(b":")[0].lower()
-    digest = _digest(team.encode(), method, name, target, length, body, size=DIGEST_BYTES)
-    caller = _digest(team.encode(), b"" if team else address.encode(), size=CALLER_BYTES)
+    digest = _compute_digest(team.encode(), method, name, target, length, body, size=DIGEST_BYTES)
+    caller = _compute_digest(team.encode(), b"" if team else address.encode(), size=CALLER_BYTES)
     return Identity(digest, caller)
 
 
-def _digest(*parts: bytes, size: int) -> str:
+def _compute_digest(*parts: bytes, size: int) -> str:
     """Digest parts, each prefixed by its length so that moving bytes between parts matters."""
     digest = blake2b(digest_size=size)
     for part in parts:
--- a/halldoor/core/quarantine/record.py
+++ b/halldoor/core/quarantine/record.py
@@ -4,12 +4,12 @@
 
 from typing import NamedTuple
 
-from halldoor.core.quarantine.evidence import Evidence, TargetEnd
+from halldoor.core.quarantine.evidence import Evidence, TargetCrash
 
 MS_PER_S = 1000
 
 
-class RecordedEnd(NamedTuple):
+class RecordedCrash(NamedTuple):
     """A target that crashed while it ran a request; see `TargetCrash`.
 
     Attributes
@@ -31,7 +31,7 @@
     """Stored evidence about one request; see `Evidence`."""
 
     digest: str
-    ends: tuple[RecordedEnd, ...]
+    ends: tuple[RecordedCrash, ...]
     cleared: tuple[str, ...]
     was_sound: bool
 
@@ -45,7 +45,7 @@
         Time of day, in Unix milliseconds.
     """
     ends = tuple(
-        RecordedEnd(target, caller, now_ms - round(age_s * MS_PER_S))
+        RecordedCrash(target, caller, now_ms - round(age_s * MS_PER_S))
         for target, caller, age_s in evidence.ends
     )
     return EvidenceRecord(evidence.digest, ends, evidence.cleared, evidence.was_sound)
@@ -54,7 +54,7 @@
 def from_record(record: EvidenceRecord, now_ms: int) -> Evidence:
     """Convert a record to evidence; crashes dated in the future by a fast clock get age 0."""
     ends = tuple(
-        TargetEnd(target, caller, max(0.0, (now_ms - at_ms) / MS_PER_S))
+        TargetCrash(target, caller, max(0.0, (now_ms - at_ms) / MS_PER_S))
         for target, caller, at_ms in record.ends
     )
     return Evidence(record.digest, ends, record.cleared, record.was_sound)
--- a/halldoor/core/quarantine/unanswered.py
+++ b/halldoor/core/quarantine/unanswered.py
@@ -12,9 +12,9 @@
 from halldoor.core.quarantine.identity import Identity
 from halldoor.core.targets.target import Target
 
-GONE_WITHIN_S = 6.0
+NOTICED_WITHIN_S = 6.0
 """Time in which a crash is noticed by other entries or the target's record expires, in seconds."""
-KEPT = 512
+REQUESTS_KEPT = 512
 """Unanswered requests that are kept, the newest."""
 
 
@@ -36,13 +36,13 @@
     """The last requests that targets left unanswered."""
 
     def __init__(self) -> None:
-        self._requests: deque[Unanswered] = deque(maxlen=KEPT)
+        self._requests: deque[Unanswered] = deque(maxlen=REQUESTS_KEPT)
 
     def add(self, request: Identity, target: Target, now: float) -> None:
         """Keep a request that a target did not answer."""
         self._requests.append(Unanswered(request, target, now))
 
-    def take(self, incarnation: str, now: float) -> list[Unanswered]:
+    def pop_crashed(self, incarnation: str, now: float) -> list[Unanswered]:
         """Remove and return the recent requests that a crashed target left unanswered.
 
         The list is empty for a target that was draining: it stopped on purpose.
@@ -52,6 +52,8 @@
         incarnation : str
             Name of the target's incarnation (one start of it) that is gone.
         """
-        recent = [r for r in self._requests if r.at >= now - GONE_WITHIN_S]
-        self._requests = deque((r for r in recent if r.target.name != incarnation), maxlen=KEPT)
+        recent = [r for r in self._requests if r.at >= now - NOTICED_WITHIN_S]
+        self._requests = deque(
+            (r for r in recent if r.target.name != incarnation), maxlen=REQUESTS_KEPT
+        )
         return [r for r in recent if r.target.name == incarnation and not r.target.is_draining]
--- a/halldoor/core/quarantine/watch.py
+++ b/halldoor/core/quarantine/watch.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from halldoor.core.quarantine.evidence import Case, Evidence
+from halldoor.core.quarantine.evidence import CrashHistory, Evidence
 
 
-class Watch:
+class TrackedRequest:
     """A request with its crash history, and which evidence others already have.
 
     Attributes
@@ -30,12 +30,12 @@
     """
 
     def __init__(self, digest: str) -> None:
-        self.case = Case(digest)
+        self.history = CrashHistory(digest)
         self.is_blocked = False
-        self.told: Evidence | None = None
+        self.last_sent: Evidence | None = None
         self.recorded: Evidence | None = None
         self.record_at: float | None = None
-        self.repeats: list[float] = []
-        self.heard: Evidence | None = None
-        self.collectors: tuple[str, ...] = ()
+        self.rebroadcast_at: list[float] = []
+        self.last_received: Evidence | None = None
+        self.notified: tuple[str, ...] = ()
         self.trials_taken: set[int] = set()
--- a/halldoor/core/retry.py
+++ b/halldoor/core/retry.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-LEAST_TIME_S = 0.005
+MIN_ATTEMPT_TIME_S = 0.005
 """Least time left for another attempt, in seconds: less is not enough to connect."""
 
 
@@ -48,7 +48,7 @@
     left_s: float
 
 
-def find_obstacle(facts: RetryFacts) -> RetryObstacle | None:
+def find_retry_obstacle(facts: RetryFacts) -> RetryObstacle | None:
     """Return why a request must not be sent again, apart from budgets; None if it may be."""
     if not facts.can_resend:
         return RetryObstacle.BODY_GONE
@@ -56,6 +56,6 @@
         return RetryObstacle.MAY_HAVE_RUN
     if facts.attempts >= facts.attempt_limit:
         return RetryObstacle.NO_ATTEMPT_LEFT
-    if facts.left_s <= LEAST_TIME_S:
+    if facts.left_s <= MIN_ATTEMPT_TIME_S:
         return RetryObstacle.NO_TIME
     return None
--- a/halldoor/core/settings.py
+++ b/halldoor/core/settings.py
@@ -95,13 +95,13 @@
     try:
         return msgspec.convert(data, type=kind)
     except msgspec.ValidationError as exc:
-        raise SettingsError(f"{origin}: {exc}.", remedy=_name_remedy(str(exc), data)) from exc
+        raise SettingsError(f"{origin}: {exc}.", remedy=_find_remedy(str(exc), data)) from exc
 
 
-def _name_remedy(problem: str, data: Any) -> str:
+def _find_remedy(problem: str, data: Any) -> str:
     """Return the remedy for a schema error, with the value that was given."""
     _, found, path = problem.partition(" - at `$")
-    given = _follow(data, path.rstrip("`")) if found else data
+    given = _get_at_path(data, path.rstrip("`")) if found else data
     if "unknown field" in problem:
         return "Remove the field or check its spelling in docs/reference.md."
     if "missing required field" in problem:
@@ -109,7 +109,7 @@
     return f"Given: {str(given)[:80]!r}. Change it to the type that is wanted."
 
 
-def _follow(data: Any, path: str) -> Any:
+def _get_at_path(data: Any, path: str) -> Any:
     """Return the value at a path such as ``.halls[0].name``, or the last one that exists on it."""
     for step in path.replace("[", ".").replace("]", "").split("."):
         if not step:
--- a/halldoor/core/steering/audit.py
+++ b/halldoor/core/steering/audit.py
@@ -48,10 +48,10 @@
     def to_text(self) -> str:
         """Format the difference as one line: ``+`` added, ``-`` removed, ``~`` changed."""
         if self.before is None:
-            return f"+ {self.path}: {_shorten(self.after)}"
+            return f"+ {self.path}: {_format_short(self.after)}"
         if self.after is None:
-            return f"- {self.path}: {_shorten(self.before)}"
-        return f"~ {self.path}: {_shorten(self.before)} -> {_shorten(self.after)}"
+            return f"- {self.path}: {_format_short(self.before)}"
+        return f"~ {self.path}: {_format_short(self.before)} -> {_format_short(self.after)}"
 
 
 def compare(before: Any, after: Any, path: str = "") -> Iterator[Difference]:
@@ -66,7 +66,7 @@
     """
     if before == after:
         return
-    left, right = _index(before), _index(after)
+    left, right = _to_mapping(before), _to_mapping(after)
     if left is None or right is None:
         yield Difference(path or ".", before, after)
         return
@@ -78,7 +78,7 @@
             yield from compare(left[key], right[key], inner)
 
 
-def _index(value: Any) -> dict[str, Any] | None:
+def _to_mapping(value: Any) -> dict[str, Any] | None:
     """Return a mapping, or a list of named mappings, as a mapping by name; else None."""
     if isinstance(value, dict):
         return value
@@ -96,7 +96,7 @@
     return str(value.get("name") or value.get("hall") or "")
 
 
-def _shorten(value: Any, limit: int = 160) -> str:
+def _format_short(value: Any, limit: int = 160) -> str:
     """Format a value as JSON, cut to ``limit`` characters."""
     text = msgspec.json.encode(value).decode()
     return text if len(text) <= limit else text[: limit - 1] + "…"
--- a/halldoor/core/steering/block.py
+++ b/halldoor/core/steering/block.py
@@ -20,7 +20,7 @@
 NO_HALL = 0xFFFF
 """Hall number of addresses that no block holds."""
 _ROW_BYTES = 6
-_SPACE_BITS = 32
+_ADDRESS_BITS = 32
 
 
 class BlockMatch(NamedTuple):
@@ -55,7 +55,7 @@
     def __len__(self) -> int:
         return sum(len(chunk.starts) for chunk in self._chunks)
 
-    def replace(self, name: str, data: bytes) -> None:
+    def replace_chunk(self, name: str, data: bytes) -> None:
         """Add a chunk and remove all chunks that it overlaps.
 
         Parameters
@@ -69,16 +69,16 @@
         count = len(data) // _ROW_BYTES
         view = memoryview(data)
         new = _Chunk(first, end, view[: count * 4].cast("I"), view[count * 4 :].cast("H"))
-        rest = [c for c in self._chunks if c.end <= first or c.first >= end]
-        chunks = sorted([*rest, new], key=lambda c: c.first)
-        self._set(chunks)
+        kept = [c for c in self._chunks if c.end <= first or c.first >= end]
+        chunks = sorted([*kept, new], key=lambda c: c.first)
+        self._set_chunks(chunks)
 
-    def keep_only(self, names: Iterable[str]) -> None:
+    def retain_chunks(self, names: Iterable[str]) -> None:
         """Remove all chunks except those with the given names."""
         ranges = {parse_range(name) for name in names}
-        self._set([c for c in self._chunks if (c.first, c.end) in ranges])
+        self._set_chunks([c for c in self._chunks if (c.first, c.end) in ranges])
 
-    def _set(self, chunks: list[_Chunk]) -> None:
+    def _set_chunks(self, chunks: list[_Chunk]) -> None:
         """Replace the lists of chunks and of their first addresses.
 
         A concurrent reader may see the two lists differ; see `find`.
@@ -141,21 +141,21 @@
         starts.append(first)
         halls.append(hall)
         end = last + 1
-    if starts and end < 1 << _SPACE_BITS:
+    if starts and end < 1 << _ADDRESS_BITS:
         starts.append(end)
         halls.append(NO_HALL)
-    return dict(_cut(starts, halls, 0, _SPACE_BITS)) if starts else {}
+    return dict(_split_range(starts, halls, 0, _ADDRESS_BITS)) if starts else {}
 
 
-def _cut(
+def _split_range(
     starts: array[int], halls: array[int], first: int, bits: int
 ) -> Iterator[tuple[str, bytes]]:
     """Yield the chunks of an address range, halving it until the rows fit a chunk."""
     low = bisect_left(starts, first)
     high = bisect_left(starts, first + (1 << bits))
     if high - low >= CHUNK_BLOCKS and bits > 0:
-        yield from _cut(starts, halls, first, bits - 1)
-        yield from _cut(starts, halls, first + (1 << (bits - 1)), bits - 1)
+        yield from _split_range(starts, halls, first, bits - 1)
+        yield from _split_range(starts, halls, first + (1 << (bits - 1)), bits - 1)
         return
     rows, numbers = starts[low:high], halls[low:high]
     # A block that begins before the range is split: the chunk starts with its remainder.
--- a/halldoor/core/steering/configuration.py
+++ b/halldoor/core/steering/configuration.py
@@ -255,7 +255,7 @@
 
 def _list_problems(c: Configuration) -> Iterator[tuple[str, str]]:
     """Yield the problems of a configuration, each with its remedy."""
-    yield from _list_repeats(c)
+    yield from _list_duplicates(c)
     halls = {h.name for h in c.halls}
     regions = {r.name for r in c.regions}
     services = {s.name for s in c.services}
@@ -281,7 +281,7 @@
     pack_blocks((n, 0) for b in c.client_blocks for n in b.networks)
 
 
-def _list_repeats(c: Configuration) -> Iterator[tuple[str, str]]:
+def _list_duplicates(c: Configuration) -> Iterator[tuple[str, str]]:
     """Yield a problem for each name that is used more than once."""
     groups = {
         "regions": [r.name for r in c.regions],
@@ -332,7 +332,7 @@
     return msgspec.to_builtins(configuration)
 
 
-def to_shown_data(configuration: Configuration | None) -> Any:
+def to_display_data(configuration: Configuration | None) -> Any:
     """Convert the configuration to plain data for display, with the digests of tokens shortened."""
     data = to_data(configuration) if configuration is not None else {}
     for team in data.get("teams", []):
--- a/halldoor/core/steering/operation.py
+++ b/halldoor/core/steering/operation.py
@@ -44,7 +44,7 @@
     """Return a shift changed by a verb; see `edit_shift`."""
     if verb == "start":
         wanted = shift.position if position is None else position
-        return _move(shift, wanted, state="running")
+        return _set_position(shift, wanted, state="running")
     if verb == "step":
         if shift.state != "running":
             raise SettingsError(
@@ -53,17 +53,17 @@
             )
         if position is None:
             raise SettingsError("A step needs a position.", remedy="Add --position 0.1.")
-        return _move(shift, position, state="running")
+        return _set_position(shift, position, state="running")
     if verb == "pause":
-        return _move(shift, shift.position, state="paused")
+        return _set_position(shift, shift.position, state="paused")
     if verb == "back":
-        return _move(shift, 0.0, state="planned")
+        return _set_position(shift, 0.0, state="planned")
     raise SettingsError(
         f"There is no shift verb {verb!r}.", remedy=f"Use one of: {', '.join(SHIFT_VERBS)}."
     )
 
 
-def _move(shift: Shift, position: float, *, state: str) -> Shift:
+def _set_position(shift: Shift, position: float, *, state: str) -> Shift:
     """Return a shift at another position and in another state.
 
     Raises
--- a/halldoor/core/steering/permission.py
+++ b/halldoor/core/steering/permission.py
@@ -72,26 +72,26 @@
 
 def _may_change(team: Team, path: str, before: Configuration | None, after: Configuration) -> bool:
     """Check whether a team may change a path: it must own it before and after the change."""
-    kind, _, rest = path.partition(".")
+    kind, _, subpath = path.partition(".")
     versions = [c for c in (before, after) if c is not None]
     if kind == "services":
-        return all(_owns_service(team, rest, c) for c in versions)
+        return all(_owns_service(team, subpath, c) for c in versions)
     if kind == "shifts":
-        return all(_owns_shift(team, rest, c) for c in versions)
-    if kind == "targets" and rest.endswith(".leaving"):
-        return all(_owns_target(team, rest.removesuffix(".leaving"), c) for c in versions)
+        return all(_owns_shift(team, subpath, c) for c in versions)
+    if kind == "targets" and subpath.endswith(".leaving"):
+        return all(_owns_target(team, subpath.removesuffix(".leaving"), c) for c in versions)
     return False
 
 
 def _owns_service(team: Team, path: str, configuration: Configuration) -> bool:
     """Check whether the service at a path belongs to the team or doesn't exist."""
-    owners = [s.team for s in configuration.services if _is_at(path, s.name)]
+    owners = [s.team for s in configuration.services if _is_at_or_below(path, s.name)]
     return all(owner == team.name for owner in owners)
 
 
 def _owns_shift(team: Team, path: str, configuration: Configuration) -> bool:
     """Check whether the shift at a path is for the team's service or doesn't exist."""
-    services = [s.service for s in configuration.shifts if _is_at(path, s.name)]
+    services = [s.service for s in configuration.shifts if _is_at_or_below(path, s.name)]
     return all(_owns_service(team, service, configuration) for service in services)
 
 
@@ -107,6 +107,6 @@
     return bool(users) and all(user == team.name for user in users)
 
 
-def _is_at(path: str, name: str) -> bool:
+def _is_at_or_below(path: str, name: str) -> bool:
     """Check whether a path equals a name or lies below it; names may contain dots."""
     return path == name or path.startswith(f"{name}.")
--- a/halldoor/core/steering/revision.py
+++ b/halldoor/core/steering/revision.py
@@ -48,7 +48,7 @@
     audit: str = ""
 
 
-class Bundle(NamedTuple):
+class ConfigurationParts(NamedTuple):
     """Parts of a configuration: names to digests, and digests to bytes."""
 
     names: dict[str, str]
@@ -60,7 +60,7 @@
     return blake2b(data, digest_size=16).hexdigest()
 
 
-def split_configuration(configuration: Configuration) -> Bundle:
+def split_configuration(configuration: Configuration) -> ConfigurationParts:
     """Split a configuration into parts, each below the platform's size limit for a value.
 
     Large tables are split into chunks, so that a small change transfers a small part.
@@ -89,7 +89,7 @@
             )
     names = {name: digest(value) for name, value in encoded.items()}
     parts = {names[name]: value for name, value in encoded.items()}
-    return Bundle(names, parts | {digest(chunk): chunk for chunk in chunks.values()})
+    return ConfigurationParts(names, parts | {digest(chunk): chunk for chunk in chunks.values()})
 
 
 def join_configuration(
--- a/halldoor/core/steering/routing.py
+++ b/halldoor/core/steering/routing.py
@@ -12,7 +12,7 @@
 """Name of the failover cap, and reason of moves that it limits."""
 
 
-class Step(NamedTuple):
+class RoutingStep(NamedTuple):
     """A hall to try for a request, with its candidate targets.
 
     Attributes
@@ -32,7 +32,7 @@
     charges: tuple[str, ...]
 
 
-def list_steps(view: ServiceView, client: str) -> Iterator[Step]:
+def list_routing_steps(view: ServiceView, client: str) -> Iterator[RoutingStep]:
     """List the halls to try for a request of a client block, best first.
 
     The halls of a shift that applies come first, then the halls of the home region, then the other
@@ -43,20 +43,20 @@
     for item in view.shifts:
         if is_chosen(item.shift.name, client, item.shift.position):
             because = f"shift {item.shift.name}"
-            yield from _list_moves(view, item.to, because, (item.shift.name,))
+            yield from _list_move_steps(view, item.to, because, (item.shift.name,))
             break
     default = view.default
     for hall, targets in default.halls.items():
         if hall in view.home_halls:
-            yield Step(hall, targets, default.selector, "default", ())
+            yield RoutingStep(hall, targets, default.selector, "default", ())
     away = {h: t for h, t in default.halls.items() if h not in view.home_halls}
-    yield from _list_moves(view, default._replace(halls=away), FAILOVER, (FAILOVER,))
-    yield from _list_moves(view, view.failover, FAILOVER, (FAILOVER,))
+    yield from _list_move_steps(view, default._replace(halls=away), FAILOVER, (FAILOVER,))
+    yield from _list_move_steps(view, view.failover, FAILOVER, (FAILOVER,))
 
 
-def _list_moves(
+def _list_move_steps(
     view: ServiceView, to: Destination, because: str, charges: tuple[str, ...]
-) -> Iterator[Step]:
+) -> Iterator[RoutingStep]:
     """Yield the steps of a move, each with all the caps that it is charged to."""
     for hall, targets in to.halls.items():
         touched = tuple(
@@ -64,7 +64,7 @@
             for s in view.shifts
             if s.shift.name not in charges and not s.to.names.isdisjoint(targets)
         )
-        yield Step(hall, targets, to.selector, because, charges + touched)
+        yield RoutingStep(hall, targets, to.selector, because, charges + touched)
 
 
 class ServiceMeters:
@@ -89,7 +89,7 @@
         for meter in self.meters.values():
             meter.add_request()
 
-    def take_move(self, charges: tuple[str, ...]) -> str:
+    def charge_move(self, charges: tuple[str, ...]) -> str:
         """Charge a move to all its caps if each allows it, else to none.
 
         Returns
--- a/halldoor/core/steering/selector.py
+++ b/halldoor/core/steering/selector.py
@@ -93,8 +93,8 @@
         If it can't be parsed.
     """
     if " in (" in part and part.endswith(")"):
-        key, _, rest = part.partition(" in (")
-        values = tuple(v.strip() for v in rest[:-1].split("|") if v.strip())
+        key, _, values_text = part.partition(" in (")
+        values = tuple(v.strip() for v in values_text[:-1].split("|") if v.strip())
         negated = False
     else:
         operator = "!=" if "!=" in part else "="
--- a/halldoor/core/steering/shift.py
+++ b/halldoor/core/steering/shift.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-from halldoor.core.placement import to_unit
+from halldoor.core.placement import hash_to_unit
 
 CREDIT_LIMIT = 2.0
 """Largest credit that is kept, so that credit of quiet hours can't pay for a burst of moves."""
@@ -77,4 +77,4 @@
 
     When the position grows, further blocks move and none moves back.
     """
-    return to_unit(f"{shift}\0{client_block}") < position
+    return hash_to_unit(f"{shift}\0{client_block}") < position
--- a/halldoor/core/steering/snapshot.py
+++ b/halldoor/core/steering/snapshot.py
@@ -110,15 +110,15 @@
         cls, configuration: Configuration, *, revision: int, hall: str, blocks: BlockTable
     ) -> Snapshot:
         """Derive the snapshot of an entry in ``hall``."""
-        mine = configuration.find_hall(hall) or Hall(name=hall, region="none", entries=[])
+        own_hall = configuration.find_hall(hall) or Hall(name=hall, region="none", entries=[])
         order = order_halls(configuration, hall)
-        selection = _Selection(configuration, order)
-        services = {s.name: _view_service(selection, s, mine) for s in configuration.services}
+        resolver = _SelectorResolver(configuration, order)
+        services = {s.name: _resolve_service(resolver, s, own_hall) for s in configuration.services}
         hall_targets = {t.name: t for t in configuration.targets if t.hall == hall}
         return cls(
             revision=revision,
             configuration=configuration,
-            hall=mine,
+            hall=own_hall,
             services=services,
             targets={t.name: t for t in configuration.targets},
             hall_targets=hall_targets,
@@ -128,7 +128,7 @@
                 for k in configuration.links
                 if k.origin == hall
             },
-            rest_s={name: _find_rest(services, name) for name in hall_targets},
+            rest_s={name: _compute_longest_request_s(services, name) for name in hall_targets},
             blocks=blocks,
             hall_by_entry={e.name: h.name for h in configuration.halls for e in h.entries},
         )
@@ -142,7 +142,7 @@
     return tuple(sorted(names, key=lambda n: (latency.get(n, FAR_MS), n)))
 
 
-class _Selection:
+class _SelectorResolver:
     """Resolver of selectors to targets, ordered by distance from one hall."""
 
     def __init__(self, configuration: Configuration, order: tuple[str, ...]) -> None:
@@ -155,7 +155,7 @@
         self._index = configuration.index_labels()
         self._order = {hall: i for i, hall in enumerate(order)}
 
-    def select(self, text: str) -> Destination:
+    def resolve(self, text: str) -> Destination:
         """Resolve a selector to targets by hall, the nearest hall first."""
         found: dict[str, list[str]] = {}
         for name in self._index.find(Selector.from_text(text)):
@@ -164,10 +164,10 @@
         return Destination(text, halls, frozenset(t for names in halls.values() for t in names))
 
 
-def _view_service(selection: _Selection, service: Service, hall: Hall) -> ServiceView:
+def _resolve_service(resolver: _SelectorResolver, service: Service, hall: Hall) -> ServiceView:
     """Resolve the selectors of one service."""
-    default = selection.select(service.selector)
-    regions = selection.regions
+    default = resolver.resolve(service.selector)
+    regions = resolver.regions
     # The home region is the entry's own, or else the nearest one with targets of the service.
     home = hall.region
     if default.halls and not any(regions[h] == home for h in default.halls):
@@ -176,15 +176,15 @@
     return ServiceView(
         service=service,
         default=default,
-        failover=selection.select(service.failover) if service.failover else empty,
+        failover=resolver.resolve(service.failover) if service.failover else empty,
         shifts=tuple(
-            ShiftView(s, selection.select(s.to)) for s in selection.shifts.get(service.name, [])
+            ShiftView(s, resolver.resolve(s.to)) for s in resolver.shifts.get(service.name, [])
         ),
         home_halls=frozenset(h for h, region in regions.items() if region == home),
     )
 
 
-def _find_rest(services: dict[str, ServiceView], target: str) -> float:
+def _compute_longest_request_s(services: dict[str, ServiceView], target: str) -> float:
     """Return the longest time that a request to a target can last, in seconds."""
     deadlines = [
         op.deadline_s
--- a/halldoor/core/targets/limits.py
+++ b/halldoor/core/targets/limits.py
@@ -10,7 +10,7 @@
 import math
 from typing import NamedTuple
 
-from halldoor.core.placement import to_unit
+from halldoor.core.placement import hash_to_unit
 from halldoor.core.targets.statement import SEPARATOR
 
 RAMP_STEP_S = 1.0
@@ -107,7 +107,7 @@
         if limit_per_s is None:
             return self._start_ramp(target, known, answered_at)
         is_changed = known is None or known.ended_at is not None or known.limit_per_s != limit_per_s
-        spread = 1.0 + PROBE_SPREAD * to_unit(f"{self._own_name}/{target}")
+        spread = 1.0 + PROBE_SPREAD * hash_to_unit(f"{self._own_name}/{target}")
         probe_at = answered_at + spread * _find_probe_wait(limit_per_s, entries)
         self._states[target] = _LimitState(limit_per_s, answered_at, None, probe_at)
         return is_changed
--- a/halldoor/core/targets/order.py
+++ b/halldoor/core/targets/order.py
@@ -9,7 +9,7 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from halldoor.core.placement import hash_pairs, to_unit
+from halldoor.core.placement import hash_pairs, hash_to_unit
 from halldoor.core.targets.catalog import Catalog
 from halldoor.core.targets.regionshare import OwnShare, RegionSlots, compute_own_share
 from halldoor.core.targets.route import Route
@@ -230,13 +230,13 @@
         share = self._update_share(route, service, settings, now)
         point = self._key_points.get(key)
         if point is None:
-            point = self._key_points[key] = to_unit(f"region of {key}")
+            point = self._key_points[key] = hash_to_unit(f"region of {key}")
         share.weights.add(point, now)
         if point < share.current:
             return _Placement.OWN
         # Requests that spill to other regions return as slowly as the keys do: both together must
         # stay within the bound on moves.
-        is_away = share.lag > 0 and to_unit(f"spill of {key}") < share.lag
+        is_away = share.lag > 0 and hash_to_unit(f"spill of {key}") < share.lag
         return _Placement.AWAY if is_away else _Placement.OTHER
 
     def _arrange(self, order: Sequence[Target], placement: _Placement) -> Sequence[Target]:
--- a/halldoor/core/targets/split.py
+++ b/halldoor/core/targets/split.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from halldoor.core.placement import to_unit
+from halldoor.core.placement import hash_to_unit
 from halldoor.core.targets.route import Route, SplitPart
 
 DRIFT_LIMIT = 1.5
@@ -47,7 +47,7 @@
 
 def _prefer(route: Route, key: str, total: float) -> str:
     """Return the service that a key prefers; keys are spread in proportion to the weights."""
-    point = to_unit(f"{route.name}\0{key}") * total
+    point = hash_to_unit(f"{route.name}\0{key}") * total
     for part in route.parts:
         point -= part.weight
         if point < 0:
--- a/halldoor/core/teams/admission.py
+++ b/halldoor/core/teams/admission.py
@@ -14,7 +14,13 @@
 
 from halldoor.core.targets.route import Route, RouteTable, Routing
 from halldoor.core.teams.gate import Admission, QuotaGate
-from halldoor.core.teams.team import Team, TeamTable, digest_key, join_homes, read_bearer
+from halldoor.core.teams.team import (
+    Team,
+    TeamTable,
+    digest_key,
+    intersect_home_regions,
+    read_bearer,
+)
 
 
 class RefusalReason(StrEnum):
@@ -29,7 +35,7 @@
     OVER_QUOTA = "team over its quota"
 
 
-DIGEST_SHOWN = 12
+DIGEST_DIGITS_LOGGED = 12
 """Hexadecimal digits of a key's digest in a log: enough to compare, too few to guess the key."""
 
 _STATUSES = {
@@ -69,7 +75,7 @@
         return _STATUSES[self.reason]
 
 
-class Entrance(NamedTuple):
+class AdmittedRequest(NamedTuple):
     """An admitted request.
 
     Attributes
@@ -129,7 +135,7 @@
         """Return the configured teams."""
         return self._teams
 
-    def enter(
+    def admit_request(
         self,
         host: str,
         path: str,
@@ -140,7 +146,7 @@
         age_s: float,
         entries: int,
         settings: AccessSettings,
-    ) -> Entrance | Refusal:
+    ) -> AdmittedRequest | Refusal:
         """Decide whether a request is admitted, and count it against its team's quota if it is.
 
         Parameters
@@ -165,28 +171,30 @@
         if route is None:
             return Refusal(RefusalReason.OLD_CONFIGURATION if is_stale else RefusalReason.NO_ROUTE)
         if route.is_public or not self.has_teams:
-            return Entrance(route, "")
+            return AdmittedRequest(route, "")
         if settings.is_strict and age_s > settings.revoked_s:
             return Refusal(RefusalReason.OLD_CONFIGURATION)
         key = read_bearer(credentials)
         team = self._teams.find(key)
         if team is None:
             reason = RefusalReason.OLD_CONFIGURATION if is_stale else RefusalReason.UNKNOWN_KEY
-            return Refusal(reason, key_digest=digest_key(key).hex()[:DIGEST_SHOWN] if key else "")
+            return Refusal(
+                reason, key_digest=digest_key(key).hex()[:DIGEST_DIGITS_LOGGED] if key else ""
+            )
         effective = _apply_team(route, team)
         if effective is None:
             return Refusal(RefusalReason.NO_COMMON_REGION, team.name)
         quota = gate.admit(team.name, now, entries=entries)
         if not quota.is_admitted:
             return Refusal(RefusalReason.OVER_QUOTA, team.name, quota=quota)
-        return Entrance(effective, team.name)
+        return AdmittedRequest(effective, team.name)
 
 
 def _apply_team(route: Route, team: Team) -> Route | None:
     """Return a route with a team's priority and home regions; None if they share no region."""
     if team.priority is None and not team.home_regions:
         return route
-    homes = join_homes(route.home_regions, team.home_regions)
+    homes = intersect_home_regions(route.home_regions, team.home_regions)
     if homes is None:
         return None
     priority = route.priority if team.priority is None else team.priority
--- a/halldoor/core/teams/gate.py
+++ b/halldoor/core/teams/gate.py
@@ -20,10 +20,10 @@
 
 TEAMS_REPORTED = 64
 """Most teams in one period of a report, so that it fits a datagram; others wait for the next."""
-RETRY_LEAST_S = 0.25
+MIN_RETRY_AFTER_S = 0.25
 """Shortest time after which a refused caller may retry, in seconds: the level of its team's bucket
 has changed by then."""
-RETRY_MOST_S = 5.0
+MAX_RETRY_AFTER_S = 5.0
 """Longest time after which a refused caller may retry, in seconds: a team that stopped exceeding
 its quota is back at its rate by then."""
 
@@ -33,28 +33,28 @@
 
     def __init__(self, now: float) -> None:
         self._spent = 0.0
-        self._at = now
+        self._updated_at = now
 
-    def take(self, limit: TeamLimit, now: float) -> float:
+    def take_token(self, limit: TeamLimit, now: float) -> float:
         """Take a token for a request; return 0, or the seconds until one is free if none is."""
-        self._advance(limit, now)
+        self._refill(limit, now)
         if self._spent + 1.0 <= limit.burst:
             self._spent += 1.0
             return 0.0
         return (self._spent + 1.0 - limit.burst) / max(limit.rate_per_s, 1e-3)
 
-    def spend(self, limit: TeamLimit, now: float) -> None:
+    def charge(self, limit: TeamLimit, now: float) -> None:
         """Charge a request that was admitted by other rules, at most until the bucket is empty."""
-        self._advance(limit, now)
+        self._refill(limit, now)
         self._spent = min(limit.burst, self._spent + 1.0)
 
-    def _advance(self, limit: TeamLimit, now: float) -> None:
+    def _refill(self, limit: TeamLimit, now: float) -> None:
         """Refill the bucket up to a time."""
-        passed_s = max(0.0, now - self._at)
-        self._at = max(now, self._at)
-        self._spent = max(0.0, self._spent - passed_s * limit.rate_per_s)
+        elapsed_s = max(0.0, now - self._updated_at)
+        self._updated_at = max(now, self._updated_at)
+        self._spent = max(0.0, self._spent - elapsed_s * limit.rate_per_s)
 
-    def give_back(self) -> None:
+    def return_token(self) -> None:
         """Return the token of one request."""
         self._spent = max(0.0, self._spent - 1.0)
 
@@ -100,15 +100,15 @@
         self._draw = draw
         self._life = life
         self._limits: Mapping[str, TeamLimit] = {}
-        self._parts: dict[str, float] = {}
+        self._shares: dict[str, float] = {}
         self._answered_at: float | None = None
         self._number = 0
         self._counts: dict[str, list[int]] = {}
         self._periods: deque[Period] = deque(maxlen=PERIODS_SENT)
-        self._alone: dict[str, EntryBucket] = {}
-        self._whole: dict[str, EntryBucket] = {}
+        self._equal_buckets: dict[str, EntryBucket] = {}
+        self._limit_buckets: dict[str, EntryBucket] = {}
 
-    def use(self, limits: Mapping[str, TeamLimit]) -> None:
+    def set_limits(self, limits: Mapping[str, TeamLimit]) -> None:
         """Set the limits of the teams, by name."""
         self._limits = limits
 
@@ -139,37 +139,39 @@
             admission = self._admit_shared(team, limit, now, age_s)
             if admission.is_admitted:
                 # Charge the entry's own bucket too, so that it is not full when answers stop.
-                _find_bucket(self._alone, team, now).spend(_find_equal(limit, entries), now)
+                _get_or_add_bucket(self._equal_buckets, team, now).charge(
+                    _compute_equal_limit(limit, entries), now
+                )
         else:
-            admission = self._admit_alone(team, limit, now, entries)
+            admission = self._admit_equal(team, limit, now, entries)
         if admission.is_admitted:
             counts[1] += 1
         return admission
 
     def _admit_shared(self, team: str, limit: TeamLimit, now: float, age_s: float) -> Admission:
         """Admit by the collector's share, and within the team's whole limit at this entry."""
-        part = self._parts.get(team, 1.0)
+        part = self._shares.get(team, 1.0)
         if part < 1.0 and self._draw() >= part:
-            return Admission(_find_return(part), part, age_s)
+            return Admission(_compute_retry_after(part), part, age_s)
         # At least one second of the rate: a team may have a burst of 0.
         own = limit._replace(burst=max(1.0, limit.burst, limit.rate_per_s))
-        wait_s = _find_bucket(self._whole, team, now).take(own, now)
-        return Admission(min(RETRY_MOST_S, wait_s), part, age_s)
+        wait_s = _get_or_add_bucket(self._limit_buckets, team, now).take_token(own, now)
+        return Admission(min(MAX_RETRY_AFTER_S, wait_s), part, age_s)
 
-    def _admit_alone(self, team: str, limit: TeamLimit, now: float, entries: int) -> Admission:
+    def _admit_equal(self, team: str, limit: TeamLimit, now: float, entries: int) -> Admission:
         """Admit by this entry's equal part of the limit, when no answer is fresh."""
-        equal = _find_equal(limit, entries)
-        wait_s = _find_bucket(self._alone, team, now).take(equal, now)
-        return Admission(min(RETRY_MOST_S, wait_s), 1.0 / entries, None)
+        equal = _compute_equal_limit(limit, entries)
+        wait_s = _get_or_add_bucket(self._equal_buckets, team, now).take_token(equal, now)
+        return Admission(min(MAX_RETRY_AFTER_S, wait_s), 1.0 / entries, None)
 
-    def give_back(self, team: str) -> None:
+    def uncount(self, team: str) -> None:
         """Uncount a request that was admitted and then reached no target."""
         if team not in self._limits:
             return
         self._counts.setdefault(team, [0, 0])[1] -= 1
-        for buckets in (self._alone, self._whole):
+        for buckets in (self._equal_buckets, self._limit_buckets):
             if team in buckets:
-                buckets[team].give_back()
+                buckets[team].return_token()
 
     def close_period(self) -> Report:
         """Close the current period and return the report to send to the collectors."""
@@ -179,21 +181,21 @@
         self._periods.append(Period(self._number, counts))
         return Report(self._entry, self._life, tuple(self._periods))
 
-    def take(self, answer: Shares, now: float) -> bool:
+    def apply_answer(self, answer: Shares, now: float) -> bool:
         """Apply a collector's answer; return False if it answers none of the latest reports."""
         if not self._number - PERIODS_SENT < answer.number <= self._number:
             return False
         self._answered_at = now
-        self._parts = dict(answer.shares)
+        self._shares = dict(answer.shares)
         return True
 
 
-def _find_equal(limit: TeamLimit, entries: int) -> TeamLimit:
+def _compute_equal_limit(limit: TeamLimit, entries: int) -> TeamLimit:
     """Return one entry's equal part of a limit, with a burst of at least one request."""
     return TeamLimit(limit.rate_per_s / entries, max(1.0, limit.burst / entries))
 
 
-def _find_bucket(buckets: dict[str, EntryBucket], team: str, now: float) -> EntryBucket:
+def _get_or_add_bucket(buckets: dict[str, EntryBucket], team: str, now: float) -> EntryBucket:
     """Return the bucket of a team, adding a full one if it has none."""
     bucket = buckets.get(team)
     if bucket is None:
@@ -201,7 +203,7 @@
     return bucket
 
 
-def _find_return(part: float) -> float:
+def _compute_retry_after(part: float) -> float:
     """Return when a refused caller should retry, in seconds: later if more requests are refused."""
-    crowd = 1.0 / max(part, 0.01) - 1.0
-    return min(RETRY_MOST_S, max(RETRY_LEAST_S, RECOVERY_S * crowd))
+    excess = 1.0 / max(part, 0.01) - 1.0
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, RECOVERY_S * excess))
--- a/halldoor/core/teams/ledger.py
+++ b/halldoor/core/teams/ledger.py
@@ -18,25 +18,25 @@
 
 DEMAND_S = 1.0
 """Time over which the requests of a team are averaged, in seconds: three periods of every entry."""
-SILENCE_S = 1.0
+NEW_AFTER_S = 1.0
 """Time without a report after which an entry that reports again counts as new, in seconds."""
 LATE_PERIODS = 1.5
 """Time without a report, in periods, from which a report is late: lost, or its entry cut off."""
-SILENT_S = 60.0
+SILENT_ENTRY_S = 60.0
 """Time for which a silent entry is assumed to admit its equal part of the quotas, in seconds.
 
 An entry that is cut off still serves callers; one that crashed is dropped after this time.
 """
-DEBT_S = 2.0
+MAX_DEBT_S = 2.0
 """Lowest level of a bucket, in seconds of its rate below 0: any lower, and a team would still be
 refused long after it stopped exceeding its quota."""
-YOUNG_PERIODS = 3.0
+WARM_UP_PERIODS = 3.0
 """Periods for which a newly started collector counts before it answers.
 
 It lacks the counts from before its start and would admit every request of a team that exceeds its
 quota.  Until then entries use the other collector's answers, or equal parts.
 """
-RENEWAL_SHARE = 0.25
+REUSE_PERIODS = 0.25
 """Part of a period for which computed shares are reused: the reports of all entries arrive within
 one period, and the shares are not computed again for each."""
 START_LEVEL = -0.5
@@ -62,28 +62,28 @@
     def __init__(self, limit: TeamLimit, now: float) -> None:
         self.level = START_LEVEL * limit.burst
         self._asked_per_s = 0.0
-        self._began_at = now
-        self._at = now
+        self._created_at = now
+        self._updated_at = now
 
     @property
     def demand_per_s(self) -> float:
         """Return the team's average rate of requests; over its lifetime for a new bucket."""
-        age_s = max(self._at - self._began_at, PERIOD_S)
+        age_s = max(self._updated_at - self._created_at, PERIOD_S)
         return self._asked_per_s / -math.expm1(-age_s / DEMAND_S)
 
     def advance(self, limit: TeamLimit, now: float) -> None:
         """Refill the bucket and decay the average demand up to a time."""
-        passed_s = max(0.0, now - self._at)
-        self._at = max(now, self._at)
-        self.level = min(BUCKET_SHARE * limit.burst, self.level + passed_s * limit.rate_per_s)
-        self._asked_per_s *= math.exp(-passed_s / DEMAND_S)
+        elapsed_s = max(0.0, now - self._updated_at)
+        self._updated_at = max(now, self._updated_at)
+        self.level = min(BUCKET_SHARE * limit.burst, self.level + elapsed_s * limit.rate_per_s)
+        self._asked_per_s *= math.exp(-elapsed_s / DEMAND_S)
 
     def add(self, count: TeamCount, limit: TeamLimit) -> None:
         """Add the requests that an entry counted in one period."""
         self._asked_per_s += count.asked / DEMAND_S
-        self.level = max(-DEBT_S * limit.rate_per_s, self.level - count.admitted)
+        self.level = max(-MAX_DEBT_S * limit.rate_per_s, self.level - count.admitted)
 
-    def find_part(self, limit: TeamLimit, *, unheard: float) -> float:
+    def find_part(self, limit: TeamLimit, *, unreported: float) -> float:
         """Return the fraction of the team's requests to admit, from 0 to 1.
 
         Parameters
@@ -91,7 +91,7 @@
         unreported : float
             Estimate of the requests that entries with late reports have admitted.
         """
-        level = min(limit.burst, self.level - unheard)
+        level = min(limit.burst, self.level - unreported)
         allowed_per_s = limit.rate_per_s + level / RECOVERY_S
         demand_per_s = self.demand_per_s
         if demand_per_s <= max(0.0, allowed_per_s):
@@ -121,7 +121,7 @@
 
     def __init__(self, life: int, now: float) -> None:
         self.life = life
-        self.since = self.heard_at = now
+        self.reporting_since = self.reported_at = now
         self.last_number = -1
         self.last_counts: tuple[TeamCount, ...] = ()
         self.is_charged = False
@@ -131,15 +131,15 @@
     """Counts of all entries at a collector, and the teams' shares computed from them."""
 
     def __init__(self) -> None:
-        self._first_at: float | None = None
+        self._first_report_at: float | None = None
         self._limits: Mapping[str, TeamLimit] = {}
         self._buckets: dict[str, _Bucket] = {}
         self._reporters: dict[str, _Reporter] = {}
-        self._left = 1.0
+        self._part_left = 1.0
         self._shares: tuple[Share, ...] = ()
         self._computed_at = -math.inf
 
-    def use(self, limits: Mapping[str, TeamLimit], now: float) -> None:
+    def set_limits(self, limits: Mapping[str, TeamLimit], now: float) -> None:
         """Set the limits of the teams; earlier counts are kept."""
         self._limits = limits
         self._buckets = {
@@ -147,17 +147,17 @@
         }
         self._computed_at = -math.inf
 
-    def take(self, report: Report, now: float) -> None:
+    def add_report(self, report: Report, now: float) -> None:
         """Add an entry's report; periods that an earlier report held are not counted again."""
         reporter = self._reporters.get(report.entry)
         if reporter is None or reporter.life != report.life:
             reporter = self._reporters[report.entry] = _Reporter(report.life, now)
-        if now - reporter.heard_at > SILENCE_S:
-            reporter.since = now
-        reporter.heard_at = now
+        if now - reporter.reported_at > NEW_AFTER_S:
+            reporter.reporting_since = now
+        reporter.reported_at = now
         reporter.is_charged = False
-        if self._first_at is None:
-            self._first_at = now
+        if self._first_report_at is None:
+            self._first_report_at = now
         for period in report.periods:
             if period.number > reporter.last_number:
                 reporter.last_number = period.number
@@ -167,22 +167,25 @@
     def _add(self, counts: Iterable[TeamCount], now: float) -> None:
         """Add the counts of one period to the teams' buckets."""
         for count in counts:
-            limit = self._find_limit(count.team)
+            limit = self._get_reduced_limit(count.team)
             if limit is not None:
                 bucket = self._buckets[count.team]
                 bucket.advance(limit, now)
                 bucket.add(count, limit)
 
-    def _find_limit(self, team: str) -> TeamLimit | None:
+    def _get_reduced_limit(self, team: str) -> TeamLimit | None:
         """Return a team's limit minus the parts of silent entries; None if it has no limit."""
         limit = self._limits.get(team)
         if limit is None:
             return None
-        return TeamLimit(limit.rate_per_s * self._left, limit.burst * self._left)
+        return TeamLimit(limit.rate_per_s * self._part_left, limit.burst * self._part_left)
 
-    def is_young(self, now: float, *, period_s: float) -> bool:
+    def is_newly_started(self, now: float, *, period_s: float) -> bool:
         """Check whether this collector has counted for too short a time to answer."""
-        return self._first_at is None or now - self._first_at < YOUNG_PERIODS * period_s
+        return (
+            self._first_report_at is None
+            or now - self._first_report_at < WARM_UP_PERIODS * period_s
+        )
 
     def compute_shares(self, now: float, *, entries: int, period_s: float) -> tuple[Share, ...]:
         """Return the shares of the teams that exceed their quota, cached for a short time.
@@ -194,24 +197,24 @@
         period_s : float
             Period of the entries' reports, in seconds.
         """
-        if now - self._computed_at < RENEWAL_SHARE * period_s:
+        if now - self._computed_at < REUSE_PERIODS * period_s:
             return self._shares
         self._computed_at = now
-        self._left = self._find_part_left(now, entries=entries, period_s=period_s)
-        unheard = self._estimate_unheard(now, period_s=period_s)
+        self._part_left = self._find_part_left(now, entries=entries, period_s=period_s)
+        unreported = self._estimate_unreported(now, period_s=period_s)
         shares = []
         for name, bucket in self._buckets.items():
-            limit = self._find_limit(name)
+            limit = self._get_reduced_limit(name)
             if limit is None:
                 continue
             bucket.advance(limit, now)
-            part = bucket.find_part(limit, unheard=unheard[name])
+            part = bucket.find_part(limit, unreported=unreported[name])
             if part < 1.0:
                 shares.append(Share(name, part))
         self._shares = tuple(shares)
         return self._shares
 
-    def _estimate_unheard(self, now: float, *, period_s: float) -> Counter[str]:
+    def _estimate_unreported(self, now: float, *, period_s: float) -> Counter[str]:
         """Estimate the requests of each team that entries with late reports have admitted.
 
         An entry that was cut off uses its last answer for `FRESH_PERIODS`.  After that, what it
@@ -220,32 +223,34 @@
         late = [
             (reporter, periods)
             for reporter in self._reporters.values()
-            if (periods := (now - reporter.heard_at) / period_s) >= LATE_PERIODS
+            if (periods := (now - reporter.reported_at) / period_s) >= LATE_PERIODS
             and not reporter.is_charged
         ]
-        unheard: Counter[str] = Counter()
+        unreported: Counter[str] = Counter()
         if not late:
-            return unheard  # The common case; adding up all entries' counts takes milliseconds.
-        usual = self._find_usual(now, period_s=period_s)
+            return unreported  # The common case; adding up all entries' counts takes milliseconds.
+        average = self._average_admitted(now, period_s=period_s)
         for reporter, periods in late:
             # A sudden rise of a team's requests is assumed at entries with late reports, too.
-            admitted = usual | Counter({c.team: c.admitted for c in reporter.last_counts})
+            admitted = average | Counter({c.team: c.admitted for c in reporter.last_counts})
             if periods < FRESH_PERIODS:
-                unheard.update({team: n * periods for team, n in admitted.items()})
+                unreported.update({team: n * periods for team, n in admitted.items()})
                 continue
             reporter.is_charged = True
             for team, n in admitted.items():
                 if team in self._buckets:
                     self._buckets[team].level -= n * FRESH_PERIODS
-        return unheard
+        return unreported
 
-    def _find_usual(self, now: float, *, period_s: float) -> Counter[str]:
+    def _average_admitted(self, now: float, *, period_s: float) -> Counter[str]:
         """Return what one entry admits per period, averaged over entries that report in time."""
-        heard = [r for r in self._reporters.values() if now - r.heard_at < LATE_PERIODS * period_s]
+        reporting = [
+            r for r in self._reporters.values() if now - r.reported_at < LATE_PERIODS * period_s
+        ]
         total: Counter[str] = Counter()
-        for reporter in heard:
+        for reporter in reporting:
             total.update({count.team: count.admitted for count in reporter.last_counts})
-        return Counter({team: n / len(heard) for team, n in total.items()})
+        return Counter({team: n / len(reporting) for team, n in total.items()})
 
     def _find_part_left(self, now: float, *, entries: int, period_s: float) -> float:
         """Return the part of the quotas that is left after the equal parts of silent entries.
@@ -255,14 +260,14 @@
         """
         fresh = 0
         for name, reporter in list(self._reporters.items()):
-            age_s = now - reporter.heard_at
-            if age_s > SILENT_S:
+            age_s = now - reporter.reported_at
+            if age_s > SILENT_ENTRY_S:
                 del self._reporters[name]
             elif (
                 age_s <= FRESH_PERIODS * period_s
-                and now - reporter.since >= YOUNG_PERIODS * period_s
+                and now - reporter.reporting_since >= WARM_UP_PERIODS * period_s
             ):
                 # Counts of an entry that reports only since a short time are incomplete.
                 fresh += 1
-        known = max(entries, len(self._reporters), 1)
-        return fresh / known
+        expected_entries = max(entries, len(self._reporters), 1)
+        return fresh / expected_entries
--- a/halldoor/core/teams/team.py
+++ b/halldoor/core/teams/team.py
@@ -106,7 +106,7 @@
         return {t.name: t.limit for t in self.by_name.values() if t.limit is not None}
 
 
-def join_homes(route: tuple[str, ...], team: tuple[str, ...]) -> tuple[str, ...] | None:
+def intersect_home_regions(route: tuple[str, ...], team: tuple[str, ...]) -> tuple[str, ...] | None:
     """Return the home regions that both a route and a team allow.
 
     Returns
--- a/halldoor/entry/claims.py
+++ b/halldoor/entry/claims.py
@@ -13,11 +13,11 @@
 from halldoor.core.orders.claim import (
     Claim,
     Shard,
-    claim,
+    claim_operations,
     decode_shard,
     encode_shard,
     find_shard,
-    to_key,
+    format_shard_key,
 )
 from halldoor.entry.task import Task
 from halldoor.keyvalue.base import Platform, UncertainWriteError, WriteConflictError
@@ -120,12 +120,12 @@
             known = self._known.pop(number) if number in self._known else self._read(number)
             shard, version = known
             new |= {op for op in operations if op not in shard.claims or op in self._uncertain}
-            outcome = claim(shard, operations, self._me)
+            outcome = claim_operations(shard, operations, self._me)
             if outcome.shard != shard:
                 try:
                     self.writes += 1
                     data = encode_shard(outcome.shard)
-                    version = self._platform.put(to_key(number), data, expected=version)
+                    version = self._platform.put(format_shard_key(number), data, expected=version)
                 except (WriteConflictError, UncertainWriteError):
                     continue
                 self.claimed += len(operations)
@@ -139,7 +139,7 @@
 
     def _read(self, number: int) -> tuple[Shard, int]:
         """Read a shard and its version from the platform."""
-        value = self._platform.get(to_key(number))
+        value = self._platform.get(format_shard_key(number))
         if value is None:
             return Shard(), 0
         try:
--- a/halldoor/entry/configuration.py
+++ b/halldoor/entry/configuration.py
@@ -245,9 +245,9 @@
             if part not in self._parts:
                 data = _check(fetch(part), part)
                 self._parts[part] = data
-                self._blocks.replace(name, data)
+                self._blocks.replace_chunk(name, data)
                 self._drop_chunks(name, wanted)
-        self._blocks.keep_only(index)
+        self._blocks.retain_chunks(index)
 
     def _drop_chunks(self, name: str, wanted: set[str]) -> None:
         """Drop the bytes of the old chunk with the given name, unless the new head uses them."""
--- a/halldoor/entry/dispatch.py
+++ b/halldoor/entry/dispatch.py
@@ -14,7 +14,7 @@
 from halldoor.core.invariant import Invariants
 from halldoor.core.placement import rank
 from halldoor.core.steering.configuration import EntryHost
-from halldoor.core.steering.routing import ServiceMeters, Step, list_steps
+from halldoor.core.steering.routing import RoutingStep, ServiceMeters, list_routing_steps
 from halldoor.core.steering.snapshot import ServiceView, Snapshot
 from halldoor.entry.local import LocalHall
 from halldoor.entry.outcome import HallRefusal
@@ -47,14 +47,14 @@
     def __init__(self) -> None:
         self.passed_over: list[PassedOver] = []
         self.refusal = refuse(Reason.NO_TARGET, "No hall has a target for this request.")
-        self.step: Step | None = None
+        self.step: RoutingStep | None = None
         self.target = ""
         self.attempts = 0
         self.cap = ""
         self.remote_halls = 0
         self.paid: set[tuple[str, ...]] = set()
 
-    def add_failure(self, step: Step, failure: HallRefusal) -> None:
+    def add_failure(self, step: RoutingStep, failure: HallRefusal) -> None:
         """Record why a step failed."""
         self.step = step
         self.passed_over += failure.passed_over
@@ -131,7 +131,7 @@
         with self._lock:
             meters = self._meters[request.service]
             meters.add_request()
-        for step in list_steps(view, request.client):
+        for step in list_routing_steps(view, request.client):
             if not self._may_take(step, trail, meters, snapshot):
                 continue
             result = self._try(step, request, body, snapshot, view)
@@ -151,7 +151,7 @@
         )
 
     def _may_take(
-        self, step: Step, trail: _Trail, meters: ServiceMeters, snapshot: Snapshot
+        self, step: RoutingStep, trail: _Trail, meters: ServiceMeters, snapshot: Snapshot
     ) -> bool:
         """Check whether the caps and `REMOTE_HALLS` allow a step, and charge its caps."""
         is_remote = step.hall != snapshot.hall.name
@@ -159,7 +159,7 @@
             return False
         if step.charges and step.charges not in trail.paid:
             with self._lock:
-                denied = meters.take_move(step.charges)
+                denied = meters.charge_move(step.charges)
                 self._invariants.check(meters.is_within_caps(), "moved-within-cap", denied)
             if denied:
                 trail.cap = f"the cap of '{denied}' forbade a move to hall {step.hall}"
@@ -173,7 +173,7 @@
         return True
 
     def _try(
-        self, step: Step, request: Request, body: Body, snapshot: Snapshot, view: ServiceView
+        self, step: RoutingStep, request: Request, body: Body, snapshot: Snapshot, view: ServiceView
     ) -> Result[Answer, HallRefusal]:
         """Send a request to the hall of one step."""
         is_spill = step.hall not in view.home_halls
--- a/halldoor/entry/gossip.py
+++ b/halldoor/entry/gossip.py
@@ -95,7 +95,7 @@
         """Publish a new revision in heartbeats; adapt the failure timeout to the hall's size."""
         self._snapshot = snapshot
         with self._lock:
-            self._membership.beat(revision=snapshot.revision)
+            self._membership.advance_heartbeat(revision=snapshot.revision)
             # A heartbeat arrives through several peers, so a longer period needs a longer timeout.
             rare_s = SUSPECT_PERIODS * self._get_period_s()
             self._membership.suspect_after_s = max(SUSPECT_AFTER_S, rare_s)
@@ -103,7 +103,7 @@
     def set_flags(self, **flags: bool) -> None:
         """Set flags of this entry's own membership record."""
         with self._lock:
-            self._membership.beat(**flags)
+            self._membership.advance_heartbeat(**flags)
 
     def get_pause_s(self) -> float:
         """Return the seconds to the next exchange, with random jitter."""
@@ -121,7 +121,7 @@
         """Update the own heartbeat, exchange records with some peers, and run the callbacks."""
         self._turn += 1
         with self._lock:
-            self._membership.beat(reports=self.get_reports())
+            self._membership.advance_heartbeat(reports=self.get_reports())
         for name, address in self._choose():
             self._exchange(name, address)
         # Peers send reports only when they change, so the last ones are applied again.
@@ -172,7 +172,7 @@
         with self._lock:
             me = self._membership.me
             is_near = self._find_hall(peer) == me.hall
-            news = self._membership.list_news(peer) if is_near else [me._replace(reports=())]
+            news = self._membership.list_updates(peer) if is_near else [me._replace(reports=())]
         return idl.Gossip(
             sender=me.name,
             hall=me.hall,
@@ -203,7 +203,7 @@
         with self._lock:
             me = self._membership.me
             mine = [m for m in members if m.hall == me.hall]
-            self._membership.adopt(members, now=time.monotonic())
+            self._membership.merge_records(members, now=time.monotonic())
         for member in mine:
             if member.reports and member.name != me.name:
                 self.on_reports(member)
--- a/halldoor/entry/hall.py
+++ b/halldoor/entry/hall.py
@@ -166,7 +166,7 @@
         """
         ends = min(time.monotonic() + wait_s, until)
         with self._lock:
-            if self._waiting >= sum(self.slots.count_home(t) for t in targets):
+            if self._waiting >= sum(self.slots.count_own(t) for t in targets):
                 return None
             self._waiting += 1
             try:
@@ -208,7 +208,7 @@
                 passed_over.append(PassedOver(name, "it was tried already"))
             else:
                 open_names.append(name)
-        usable = self.health.filter_usable(open_names, now)
+        usable = self.health.select_usable(open_names, now)
         passed_over += [
             PassedOver(n, "its probes or answers fail") for n in open_names if n not in usable
         ]
@@ -220,12 +220,12 @@
 
     def _view(self, name: str, now: float) -> TargetView:
         """Build the policy's view of one target."""
-        share = self.slots.count_home(name)
+        share = self.slots.count_own(name)
         return self.health.view(name, in_flight=self._in_flight.get(name, 0), share=share, now=now)
 
     def _has_headroom(self, targets: Sequence[str], now: float) -> bool:
         """Check whether enough own slots are free to admit a request from another region."""
-        home = sum(self.slots.count_home(t) for t in targets)
+        home = sum(self.slots.count_own(t) for t in targets)
         free = sum(self.slots.count_free(t, now) for t in targets)
         return free > home * SPILL_HEADROOM
 
@@ -357,7 +357,7 @@
             names = self._snapshot.hall_targets if self._snapshot else {}
             return {
                 name: SlotCount(
-                    self.slots.count_home(name),
+                    self.slots.count_own(name),
                     self.slots.count_free(name, now),
                     self.slots.count_busy(name),
                     self.slots.count_lent(name),
--- a/halldoor/entry/local.py
+++ b/halldoor/entry/local.py
@@ -10,7 +10,7 @@
 from halldoor.core.errors import Ran, Reason, Refusal, refuse, refuse_unknown
 from halldoor.core.explaining.decision import PassedOver
 from halldoor.core.hall.retry import RetryBudget
-from halldoor.core.retry import RetryFacts, RetryObstacle, find_obstacle
+from halldoor.core.retry import RetryFacts, RetryObstacle, find_retry_obstacle
 from halldoor.entry.hall import Admission, HallRoom
 from halldoor.entry.outcome import HallRefusal
 from halldoor.entry.request import Answer, Body, Request, RequestError
@@ -105,7 +105,7 @@
         self, request: Request, body: Body, refusal: Refusal, attempts: int
     ) -> RetryObstacle | None:
         """Return what forbids a retry; if nothing does, spend one retry of the budget."""
-        obstacle = find_obstacle(
+        obstacle = find_retry_obstacle(
             RetryFacts(
                 is_repeatable=request.is_repeatable,
                 may_have_run=refusal.ran != Ran.NOT_RUN,
--- a/halldoor/entry/orders.py
+++ b/halldoor/entry/orders.py
@@ -19,7 +19,7 @@
 from halldoor.core.invariant import Invariants
 from halldoor.core.orders.claim import Claim, parse_time_ms
 from halldoor.core.orders.ticket import Answer as KeptAnswer
-from halldoor.core.orders.ticket import Entry, Ledger, State, Ticket, decode_ticket
+from halldoor.core.orders.ticket import Ledger, State, Ticket, TicketRecord, decode_ticket
 from halldoor.core.steering.configuration import EntryHost
 from halldoor.entry.claims import Claims
 from halldoor.entry.dispatch import Refused, Served
@@ -276,7 +276,7 @@
     def _take_and_run(self, ticket: Ticket, request: Request, body: Body) -> Outcome:
         """Mark the ticket as used and run the order, or return the outcome of its first run."""
         with self._lock:
-            taken = self._ledger.take(ticket, now=time.monotonic())
+            taken = self._ledger.mark_sent(ticket, now=time.monotonic())
             if isinstance(taken, Refusal):
                 return Failure(self._add_ticket(ticket, taken))
             if taken.state == State.SENT:
@@ -319,7 +319,7 @@
         """Add a new ticket to a "not run" refusal, so that the caller can retry."""
         if refusal.ran != Ran.NOT_RUN:
             return refusal
-        fresh = self._ledger.renew(ticket.operation, now=time.monotonic())
+        fresh = self._ledger.issue_retry(ticket.operation, now=time.monotonic())
         return refusal._replace(ticket=fresh)
 
     def _keep(self, ticket: Ticket, answer: Answer) -> Answer:
@@ -376,7 +376,7 @@
     return answer.status == 204 or lengths == ["0"]
 
 
-def _to_answer(line: Entry) -> Answer:
+def _to_answer(line: TicketRecord) -> Answer:
     """Build an answer from the stored one, marked as a repeat."""
     kept = line.answer
     assert kept is not None
--- a/halldoor/gateway/access.py
+++ b/halldoor/gateway/access.py
@@ -10,7 +10,7 @@
 from halldoor.core.teams.admission import (
     AccessSettings,
     AccessTable,
-    Entrance,
+    AdmittedRequest,
     Refusal,
     RefusalReason,
 )
@@ -68,10 +68,10 @@
         if self._table is None or self._table.routing is not routing:
             self._table = AccessTable(routing)
             self._splitter.forget_except(routing.routes)
-            self.gate.use(self._table.teams.get_limits())
+            self.gate.set_limits(self._table.teams.get_limits())
         return self._table
 
-    def enter(self, head: Head, now: float) -> Entrance | Refusal:
+    def enter(self, head: Head, now: float) -> AdmittedRequest | Refusal:
         """Admit a request by its head: return its route and team, or the refusal."""
         if self._is_confirming():
             # The request may have waited unread during the suspension: its caller may be gone.
@@ -79,7 +79,7 @@
         table = self.find_table()
         if table is None:
             return Refusal(RefusalReason.NO_CONFIGURATION)
-        return table.enter(
+        return table.admit_request(
             find(head.headers, b"host").decode("latin-1"),
             head.target.decode("latin-1"),
             find(head.headers, self._names.credentials),
--- a/halldoor/gateway/attempt.py
+++ b/halldoor/gateway/attempt.py
@@ -10,7 +10,7 @@
 from halldoor.core.retry import RetryObstacle
 from halldoor.core.targets.order import Distance
 from halldoor.core.targets.statement import TargetStatement
-from halldoor.core.teams.admission import Entrance
+from halldoor.core.teams.admission import AdmittedRequest
 from halldoor.gateway.caller import Answer, Head
 from halldoor.gateway.headers import Headers
 
@@ -175,7 +175,7 @@
     """
 
     def __init__(
-        self, head: Head, entrance: Entrance, service: str, key: str, attempt_id: str
+        self, head: Head, entrance: AdmittedRequest, service: str, key: str, attempt_id: str
     ) -> None:
         self.head = head
         self.route = entrance.route
--- a/halldoor/gateway/quarantine.py
+++ b/halldoor/gateway/quarantine.py
@@ -120,7 +120,7 @@
     async def _claim_trial(self, digest: str, trial: int) -> bool:
         """Claim a trial run in the store; return False if another entry has it or on failure."""
         # Recorded whatever the store answers: a claim whose answer was lost may be valid.
-        self._core.note_trial(digest, trial)
+        self._core.record_trial(digest, trial)
         try:
             lease = await self._get_lease()
             is_own = await self._store.claim(name_trial(digest, trial), lease=lease)
@@ -159,12 +159,12 @@
     def note_answer(self, request: Identity) -> None:
         """Record that a target answered a request successfully."""
         # Most answers change nothing and must not cost a scan of all suspected requests.
-        if self._core.note_answer(request.digest, _now()):
+        if self._core.record_answer(request.digest, _now()):
             self._plan()
 
     def note_end(self, request: Identity, target: Target) -> None:
         """Record that a target crashed while it ran a request."""
-        if not self._core.note_end(request, _name_start(target), _now()):
+        if not self._core.record_crash(request, _name_start(target), _now()):
             return
         self._count("target ended")
         self._log.event(
@@ -181,37 +181,37 @@
 
     def note_gone(self, incarnation: str) -> None:
         """Record that a target is gone: its unanswered requests may have crashed it."""
-        for request, target, _ in self._unanswered.take(incarnation, _now()):
+        for request, target, _ in self._unanswered.pop_crashed(incarnation, _now()):
             self.note_end(request, target)
 
     def _take_report(self, evidence: Evidence, sender: Address) -> None:
         """Apply evidence that an entry sent to this entry as a collector."""
-        self._core.take(evidence, _now())
+        self._core.merge_evidence(evidence, _now())
         self._plan()
 
     def _take_told_to_all(self, evidence: Evidence, sender: Address) -> None:
         """Apply evidence that a collector broadcast to all entries."""
-        self._core.take(evidence, _now(), is_for_all=True)
+        self._core.merge_evidence(evidence, _now(), is_broadcast=True)
         self._plan()
 
     def take_record(self, record: EvidenceRecord) -> None:
         """Apply evidence read from the store."""
-        self._core.take_record(from_record(record, _read_clock_ms()), _now())
+        self._core.merge_record(from_record(record, _read_clock_ms()), _now())
         self._plan()
 
     def lose_record(self, digest: str) -> None:
         """Record that the store no longer holds the evidence on a request."""
-        self._core.lose_record(digest, _now())
+        self._core.handle_removed_record(digest, _now())
         self._plan()
 
     def note_members(self) -> None:
         """Recompute the collectors of each request after the set of entries changed."""
-        self._core.recheck_collectors(_now())
+        self._core.notify_new_collectors(_now())
         self._plan()
 
     def _plan(self) -> None:
         """Send the messages that are due now, and wake the task for later ones."""
-        for message in self._core.take_messages(_now()):
+        for message in self._core.pop_messages(_now()):
             self._send(message)
         if self._core.find_due() is not None:
             self._wake.set()
@@ -224,7 +224,7 @@
                 await self._wait_until(due_at)
                 continue
             self._plan()
-            evidence = self._core.take_record_due(_now())
+            evidence = self._core.pop_due_record(_now())
             if evidence is not None:
                 await self._record(evidence)
                 await asyncio.sleep(RECORD_PAUSE_S)
@@ -270,7 +270,7 @@
             self._core.retry_record(evidence.digest, _now() + RETRY_S)
             return
         self._metrics.add_store_call("record", "ok")
-        self._core.note_recorded(evidence)
+        self._core.confirm_record(evidence)
 
     async def _get_lease(self) -> str:
         """Return a lease for records; create a new one every `LEASE_REUSE_S` at most."""
@@ -284,7 +284,7 @@
 
     def get_figures(self) -> dict[str, float]:
         """Return the current numbers of suspected and blocked requests, for the metrics."""
-        self._core.forget_old(_now())
+        self._core.remove_expired(_now())
         return {"suspects": self._core.count_suspects(), "blocked": self._core.count_blocked()}
 
     def _count(self, what: str) -> None:
--- a/halldoor/gateway/quotas.py
+++ b/halldoor/gateway/quotas.py
@@ -74,7 +74,7 @@
         if table is not self._table and table is not None:
             self._table = table
             now = asyncio.get_running_loop().time()
-            self._ledger.use(table.teams.get_limits(), now)
+            self._ledger.set_limits(table.teams.get_limits(), now)
 
     def _choose_collectors(self) -> None:
         """Choose the collectors; entries with the same list of entries choose the same ones."""
@@ -101,10 +101,10 @@
     def _collect(self, report: Report) -> Shares | None:
         """Add a report to the ledger and return shares; None while the ledger is too new."""
         now = asyncio.get_running_loop().time()
-        self._ledger.take(report, now)
+        self._ledger.add_report(report, now)
         entries = self._catalog.count_members()
         period_s = find_period(entries)
-        if not report.periods or self._ledger.is_young(now, period_s=period_s):
+        if not report.periods or self._ledger.is_newly_started(now, period_s=period_s):
             return None
         shares = self._ledger.compute_shares(now, entries=entries, period_s=period_s)
         return Shares(report.periods[-1].number, shares)
@@ -132,5 +132,5 @@
         is_first = place == 0
         if not is_first and now - self._first_answer_at <= handover_s:
             return
-        if place < len(self._collectors) and self._gate.take(answer, now) and is_first:
+        if place < len(self._collectors) and self._gate.apply_answer(answer, now) and is_first:
             self._first_answer_at = now
--- a/halldoor/gateway/records.py
+++ b/halldoor/gateway/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from halldoor.core.quarantine.record import EvidenceRecord, RecordedEnd
+from halldoor.core.quarantine.record import EvidenceRecord, RecordedCrash
 from halldoor.core.targets.changes import Change, EvidenceGone, EvidenceSeen
 from halldoor.gateway.store import StoredItem
 
@@ -65,7 +65,7 @@
     if item.value is None:
         return EvidenceGone(digest)
     model = msgspec.json.decode(item.value, type=EvidenceModel)
-    ends = tuple(RecordedEnd(end.target, end.caller, end.at_ms) for end in model.ends)
+    ends = tuple(RecordedCrash(end.target, end.caller, end.at_ms) for end in model.ends)
     return EvidenceSeen(EvidenceRecord(digest, ends, tuple(model.cleared), model.was_sound))
 
 
--- a/halldoor/gateway/request.py
+++ b/halldoor/gateway/request.py
@@ -335,7 +335,7 @@
             after_s = spread_time(ending.retry_after_s, self._random)
             caller.send(build_own_answer(ending.status, ending.outcome, retry_after_s=after_s))
         if not state.may_have_run:
-            self._access.gate.give_back(state.team)
+            self._access.gate.uncount(state.team)
         now = asyncio.get_running_loop().time()
         took_s = now - state.head.received_at
         self._metrics.add_request(state.service, str(ending.status), took_s)
--- a/halldoor/gateway/retries.py
+++ b/halldoor/gateway/retries.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from halldoor.core.retry import RetryFacts, RetryObstacle, find_obstacle
+from halldoor.core.retry import RetryFacts, RetryObstacle, find_retry_obstacle
 from halldoor.core.targets.budget import RetrySettings, RetryShare
 from halldoor.core.targets.catalog import Catalog
 from halldoor.core.targets.route import RequestKind
@@ -56,7 +56,7 @@
         expires_at : float
             Deadline for the answer, on the loop's clock.
         """
-        obstacle = find_obstacle(
+        obstacle = find_retry_obstacle(
             RetryFacts(
                 is_repeatable=state.route.kind is RequestKind.REPEATABLE,
                 may_have_run=state.may_have_run,
--- a/halldoor/keyvalue/store.py
+++ b/halldoor/keyvalue/store.py
@@ -15,7 +15,7 @@
     Configuration,
     Hall,
     check_configuration,
-    to_shown_data,
+    to_display_data,
 )
 from halldoor.core.steering.revision import (
     HEAD_KEY,
@@ -153,8 +153,8 @@
 
     def _write(self, configuration: Configuration, stored: Stored, change: Change) -> Committed:
         """Write the parts and then the head that names them."""
-        before = to_shown_data(stored.configuration)
-        differences = list(compare(before, to_shown_data(configuration)))
+        before = to_display_data(stored.configuration)
+        differences = list(compare(before, to_display_data(configuration)))
         revision = stored.revision + 1
         record = AuditRecord(
             revision=revision,
--- a/halldoor/standins/crashways.py
+++ b/halldoor/standins/crashways.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from halldoor.core.quarantine.collectors import choose_collectors
-from halldoor.core.quarantine.evidence import Case, Evidence
+from halldoor.core.quarantine.evidence import CrashHistory, Evidence
 from halldoor.core.quarantine.identity import Identity
 from halldoor.core.quarantine.quarantine import Audience, Message, Quarantine
 from halldoor.core.quarantine.record import EvidenceRecord, from_record, to_record
@@ -38,17 +38,17 @@
     def start(self, run: Run) -> None:
         """Begin with nothing known."""
         super().start(run)
-        self.cases: list[dict[str, Case]] = [{} for _ in range(run.fleet.entries)]
+        self.cases: list[dict[str, CrashHistory]] = [{} for _ in range(run.fleet.entries)]
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
         """Count it."""
-        self.cases[entry].setdefault(digest, Case(digest)).add_end(target, CALLER, now)
+        self.cases[entry].setdefault(digest, CrashHistory(digest)).add_crash(target, CALLER, now)
 
     def note_answer(self, now: float, entry: int, digest: str) -> None:
         """Clear the request of the ends before."""
         case = self.cases[entry].get(digest)
         if case is not None:
-            case.clear_before(now)
+            case.record_answer(now)
 
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
         """Go by what is counted here."""
@@ -69,7 +69,7 @@
 
     def _hear(self, now: float, entry: int, evidence: Evidence) -> None:
         """Merge what another entry knows."""
-        case = self.cases[entry].setdefault(evidence.digest, Case(evidence.digest))
+        case = self.cases[entry].setdefault(evidence.digest, CrashHistory(evidence.digest))
         case.merge(evidence, now)
 
 
@@ -79,7 +79,7 @@
     def start(self, run: Run) -> None:
         """Begin with an empty store."""
         super().start(run)
-        self.records: dict[str, Case] = {}
+        self.records: dict[str, CrashHistory] = {}
 
     def restart(self, now: float) -> None:
         """Start every entry again; the store holds on."""
@@ -88,7 +88,7 @@
         self.records = records
         for digest, case in records.items():
             for cases in self.cases:
-                cases[digest] = Case(digest)
+                cases[digest] = CrashHistory(digest)
                 cases[digest].merge(case.build_evidence(now), now)
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
@@ -102,8 +102,8 @@
         if self.run.is_store_away(now):
             self.run.at(now + 0.5, self._write, digest, target)
             return
-        record = self.records.setdefault(digest, Case(digest))
-        if record.add_end(target, CALLER, now):
+        record = self.records.setdefault(digest, CrashHistory(digest))
+        if record.add_crash(target, CALLER, now):
             evidence = record.build_evidence(now)
             for other in range(self.run.fleet.entries):
                 heard_at = now + STORE_S + self.run.random.uniform(*WATCH_S)
@@ -111,7 +111,9 @@
 
     def _hear(self, now: float, entry: int, evidence: Evidence) -> None:
         """Merge the record."""
-        self.cases[entry].setdefault(evidence.digest, Case(evidence.digest)).merge(evidence, now)
+        self.cases[entry].setdefault(evidence.digest, CrashHistory(evidence.digest)).merge(
+            evidence, now
+        )
 
 
 class Collectors(CountingWay):
@@ -135,12 +137,12 @@
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
         """Let the entry's part see it."""
-        self._parts[entry].note_end(Identity(digest, CALLER), target, now)
+        self._parts[entry].record_crash(Identity(digest, CALLER), target, now)
         self._poll(now, entry, self._parts[entry])
 
     def note_answer(self, now: float, entry: int, digest: str) -> None:
         """Let the entry's part see it."""
-        self._parts[entry].note_answer(digest, now)
+        self._parts[entry].record_answer(digest, now)
         self._poll(now, entry, self._parts[entry])
 
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
@@ -151,11 +153,11 @@
         """Send and record what is due, and come back when more is."""
         if part is not self._parts[entry]:
             return  # It started again meanwhile.
-        for message in part.take_messages(now):
+        for message in part.pop_messages(now):
             is_for_all = isinstance(message.to, Audience)
             for other in self._list_recipients(entry, message):
                 self.run.tell(now, entry, other, self._hear, message.evidence, is_for_all)
-        while (evidence := part.take_record_due(now)) is not None:
+        while (evidence := part.pop_due_record(now)) is not None:
             self._record(now, part, evidence)
         due_at = part.find_due()
         if due_at is not None:
@@ -173,12 +175,12 @@
 
     def _hear(self, now: float, entry: int, evidence: Evidence, is_for_all: bool) -> None:
         """Let the entry's part take a message."""
-        self._parts[entry].take(evidence, now, is_for_all=is_for_all)
+        self._parts[entry].merge_evidence(evidence, now, is_broadcast=is_for_all)
         self._poll(now, entry, self._parts[entry])
 
     def _record(self, now: float, part: Quarantine, evidence: Evidence) -> None:
         """Keep nothing."""
-        part.note_recorded(evidence)
+        part.confirm_record(evidence)
 
 
 class CollectorsAndRecord(Collectors):
@@ -204,7 +206,7 @@
         if self.run.is_store_away(now):
             part.retry_record(evidence.digest, now + 0.5)
             return
-        part.note_recorded(evidence)
+        part.confirm_record(evidence)
         record = to_record(evidence, round(now * 1000))
         self._records[evidence.digest] = record
         for entry in range(self.run.fleet.entries):
@@ -213,5 +215,5 @@
 
     def _watch(self, now: float, entry: int, record: EvidenceRecord) -> None:
         """Let the entry's part take a record."""
-        self._parts[entry].take_record(from_record(record, round(now * 1000)), now)
+        self._parts[entry].merge_record(from_record(record, round(now * 1000)), now)
         self._poll(now, entry, self._parts[entry])
--- a/halldoor/standins/quotafleet.py
+++ b/halldoor/standins/quotafleet.py
@@ -188,7 +188,7 @@
 
     def admit(self, now: float, entry: int) -> bool:
         """Admit by the entry's own part."""
-        return self._buckets[entry].take(self._part, now) <= 0.0
+        return self._buckets[entry].take_token(self._part, now) <= 0.0
 
 
 class DemandParts(QuotaWay):
@@ -226,7 +226,7 @@
         part = even + (1 - self.EVEN_SHARE) * self._told[entry] / max(1.0, sum(self._told))
         limit = self.run.limit
         own = TeamLimit(limit.rate_per_s * part, max(1.0, limit.burst * part))
-        return self._buckets[entry].take(own, now) <= 0.0
+        return self._buckets[entry].take_token(own, now) <= 0.0
 
 
 class HomeTokens(QuotaWay):
@@ -245,7 +245,7 @@
     def restart(self, now: float) -> None:
         """Begin with an empty bucket: what was granted is not known."""
         self._home = EntryBucket(now)
-        while self._home.take(self.run.limit, now) <= 0.0:
+        while self._home.take_token(self.run.limit, now) <= 0.0:
             pass
 
     def admit(self, now: float, entry: int) -> bool:
@@ -269,7 +269,7 @@
 
     def _grant(self, now: float, entry: int, wanted: int) -> None:
         """Grant tokens out of the home's bucket."""
-        granted = sum(self._home.take(self.run.limit, now) <= 0.0 for _ in range(wanted))
+        granted = sum(self._home.take_token(self.run.limit, now) <= 0.0 for _ in range(wanted))
         self.run.send(now, entry, self._receive, granted)
 
     def _receive(self, now: float, entry: int, granted: int) -> None:
@@ -291,7 +291,7 @@
         limits = {TEAM: run.limit}
         self._gates = [QuotaGate(f"e{i}", i + 1, run.random.random) for i in range(run.entries)]
         for gate in self._gates:
-            gate.use(limits)
+            gate.set_limits(limits)
         self._first_answer_at = [0.0] * run.entries
         self._ledgers = [self._make_ledger(0.0) for _ in range(COLLECTORS)]
         for entry in range(run.entries):
@@ -300,7 +300,7 @@
     def _make_ledger(self, now: float) -> QuotaLedger:
         """Make a collector that knows nothing yet."""
         ledger = QuotaLedger()
-        ledger.use({TEAM: self.run.limit}, now)
+        ledger.set_limits({TEAM: self.run.limit}, now)
         return ledger
 
     def restart(self, now: float) -> None:
@@ -321,9 +321,9 @@
     def _collect(self, now: float, entry: int, place: int, report: Report) -> None:
         """Count a report, and answer it."""
         entries, ledger = self.run.entries, self._ledgers[place]
-        ledger.take(report, now)
+        ledger.add_report(report, now)
         period_s = find_period(entries)
-        if ledger.is_young(now, period_s=period_s):
+        if ledger.is_newly_started(now, period_s=period_s):
             return
         shares = ledger.compute_shares(now, entries=entries, period_s=period_s)
         answer = Shares(report.periods[-1].number, shares)
@@ -334,5 +334,5 @@
         handover_s = HANDOVER_PERIODS * find_period(self.run.entries)
         if place and now - self._first_answer_at[entry] <= handover_s:
             return
-        if self._gates[entry].take(shares, now) and not place:
+        if self._gates[entry].apply_answer(shares, now) and not place:
             self._first_answer_at[entry] = now
--- a/halldoor/tests/test_history.py
+++ b/halldoor/tests/test_history.py
@@ -27,32 +27,32 @@
 ]
 
 
-def test_a_lost_answer_is_told_with_what_was_believed_before():
-    told = "\n".join(explain_request(parse_lines(LINES), "a1"))
-    assert "answered 502 after 20 ms" in told
-    assert "It may have run" in told
-    assert "Target t2: answer lost (reset) after 18 ms; 3 in flight" in told
-    assert "load 1.5, 90 ms old" in told and "last contact with the store 400 ms before" in told
-    assert "1.00 s before, targets: Ejected a failing target. target t2" in told
-    assert "2.00 s before, routing: In force. version 7" in told
-    assert "t1" not in told
-    assert "another request" not in told
+def test_lost_answer_is_explained_with_earlier_changes_of_state():
+    text = "\n".join(explain_request(parse_lines(LINES), "a1"))
+    assert "answered 502 after 20 ms" in text
+    assert "It may have run" in text
+    assert "Target t2: answer lost (reset) after 18 ms; 3 in flight" in text
+    assert "load 1.5, 90 ms old" in text and "last contact with the store 400 ms before" in text
+    assert "1.00 s before, targets: Ejected a failing target. target t2" in text
+    assert "2.00 s before, routing: In force. version 7" in text
+    assert "t1" not in text
+    assert "another request" not in text
 
 
 @pytest.mark.parametrize(
     ("age", "text"), [("null", "no load reported"), ("900", "too old to count (900 ms)")]
 )
-def test_a_load_that_did_not_count_is_told_as_such(age, text):
+def test_missing_or_old_load_report_is_named(age, text):
     lines = [line.replace('"load_age_ms": 90', f'"load_age_ms": {age}') for line in LINES]
     assert text in "\n".join(explain_request(parse_lines(lines), "a1"))
 
 
-def test_a_refusal_is_told_as_not_run():
-    told = "\n".join(explain_request(parse_lines(LINES), "a2"))
-    assert "no room cold=4" in told and "It did not run" in told
+def test_refused_request_is_explained_as_not_run():
+    text = "\n".join(explain_request(parse_lines(LINES), "a2"))
+    assert "no room cold=4" in text and "It did not run" in text
 
 
-def test_the_command_reads_standard_input_and_names_the_remedy():
+def test_command_reads_standard_input_and_names_the_remedy():
     command = [sys.executable, "-m", "halldoor.cli.operator", "explain", "--log", "-"]
     text = "\n".join(LINES)
     found = subprocess.run(
@@ -65,7 +65,7 @@
     assert missing.returncode == 2 and "every entry" in missing.stderr
 
 
-def test_one_id_is_found_over_the_logs_of_all_entries(tmp_path):
+def test_request_is_found_in_the_logs_of_several_entries(tmp_path):
     """A refused caller retries at another entry with the same id: both entries are named."""
     logs = [tmp_path / f"{name}.log" for name in ("e1", "e2", "e3")]
     for log, status in zip(logs, (503, 200, 404), strict=True):
@@ -75,7 +75,7 @@
     command = [sys.executable, "-m", "halldoor.cli.operator", "explain", "a1", "--fleet", *logs]
     done = subprocess.run(command, check=False, capture_output=True, text=True)
     assert done.returncode == 0, done.stderr
-    told = done.stdout
-    assert told.startswith("2 entries name it: e1, e2.")
-    assert "Entry e1 answered 503" in told and "Entry e2 answered 200" in told
-    assert "e3" not in told
+    text = done.stdout
+    assert text.startswith("2 entries name it: e1, e2.")
+    assert "Entry e1 answered 503" in text and "Entry e2 answered 200" in text
+    assert "e3" not in text
--- a/halldoor/tests/test_identity.py
+++ b/halldoor/tests/test_identity.py
@@ -20,11 +20,11 @@
 
 
 class TestIdentity:
-    def test_a_request_is_the_same_at_every_entry(self):
+    def test_equal_requests_have_equal_identities(self):
         assert identify() == identify()
 
     @pytest.mark.parametrize("host", [b"DECKS.example", b"decks.example:8443"])
-    def test_a_host_is_written_in_several_ways(self, host):
+    def test_case_and_port_of_the_host_are_ignored(self, host):
         assert identify(host=host) == identify()
 
     @pytest.mark.parametrize(
@@ -38,16 +38,16 @@
             {"team": "north"},
         ],
     )
-    def test_what_differs_is_another_request(self, changed):
+    def test_different_requests_have_different_digests(self, changed):
         assert identify(**changed).digest != identify().digest
 
-    def test_parts_do_not_run_into_each_other(self):
+    def test_bytes_moved_between_path_and_body_change_the_identity(self):
         assert identify(target=b"/a", body=b"bc") != identify(target=b"/ab", body=b"c")
 
-    def test_without_teams_an_address_tells_callers_apart_and_not_requests(self):
+    def test_address_changes_the_caller_but_not_the_digest(self):
         one, other = identify(), identify(address="10.0.0.8")
         assert one.digest == other.digest and one.caller != other.caller
 
-    def test_a_team_is_one_caller_wherever_it_comes_from(self):
+    def test_team_is_one_caller_at_any_address(self):
         assert identify("north") == identify("north", "10.0.0.8")
         assert identify("north").caller != identify("south").caller
--- a/halldoor/tests/test_report.py
+++ b/halldoor/tests/test_report.py
@@ -9,7 +9,7 @@
 import pytest
 
 from halldoor.core.explaining.history import parse_lines
-from halldoor.core.explaining.report import Ended, build_report, describe_report
+from halldoor.core.explaining.report import RequestOutcome, build_report, describe_report
 
 
 def make_line(*, at=10.0, status=200, took_ms=90, stands_for=64, outcome="answered", **attempt):
@@ -41,7 +41,7 @@
 
 
 class TestSuspects:
-    def test_the_same_request_is_followed_over_entries(self):
+    def test_targets_lost_at_several_entries_are_added_up_per_request(self):
         lines = [
             make_lost_line("d1", "t1"),
             make_lost_line("d1", "t2", entry="e2"),
@@ -53,7 +53,7 @@
         assert report.suspects == [("d1", "deck", 2, 3, 1)]
         assert "       2  d1 (deck) at 3 entries, answered 1" in describe_report(report)
 
-    def test_what_lost_one_target_is_not_listed(self):
+    def test_request_that_lost_one_target_is_not_listed(self):
         report = build_report(parse_lines([make_lost_line("d2", "t1")]))
         assert report.suspects == []
         assert not any("lost while running" in line for line in describe_report(report))
@@ -66,7 +66,7 @@
 
 
 class TestMoves:
-    def test_entries_are_summed_up_by_window(self):
+    def test_moves_of_entries_are_added_up_by_window(self):
         lines = [
             json.dumps({"event": "process: Started.", "at": 8.0, "entry": "e1"}),
             json.dumps({"event": "process: Started.", "at": 108.0, "entry": "e2"}),
@@ -84,32 +84,32 @@
             "ams 20 before, ams 14 grq 6 after; version 7, last contact with the store up to 410 ms"
         ) in told
 
-    def test_lines_without_figures_are_no_error(self):
+    def test_move_line_without_counts_is_accepted(self):
         line = json.dumps({"event": "flow: Moved between regions.", "at": 1.0, "entry": "e1"})
         (move,) = build_report(parse_lines([line])).moves
         assert (move.part, move.versions) == (0.0, ())
 
 
 class TestReport:
-    def test_requests_are_counted_by_how_they_ended(self):
+    def test_requests_are_counted_by_outcome(self):
         report = build_report(parse_lines(LINES))
         (service,) = report.services
         assert service.counts == {
-            Ended.IN_AIM: 64,
-            Ended.LATE: 64,
-            Ended.REFUSED: 1,
-            Ended.FAILED: 1,
+            RequestOutcome.IN_AIM: 64,
+            RequestOutcome.LATE: 64,
+            RequestOutcome.REFUSED: 1,
+            RequestOutcome.FAILED: 1,
         }
         assert (service.total, service.median_ms, service.high_ms) == (130, 90, 300)
 
-    def test_moments_are_counted_from_the_entrys_start(self):
+    def test_moments_are_relative_to_the_start_of_the_entry(self):
         again = json.dumps({"event": "process: Started.", "at": 1.0, "entry": "e1"})
         lines = [*LINES, again, make_line(at=1.5)]
         report = build_report(parse_lines(lines))
         totals = {t.group[0]: t.total for t in report.moments}
         assert totals == {"0000.0": 64, "0002.0": 128, "0004.0": 2}
 
-    def test_attempts_are_told_by_distance_and_warmth(self):
+    def test_attempts_are_grouped_by_distance_and_warmth(self):
         report = build_report(parse_lines(LINES))
         groups = {a.group: (a.total, a.took_ms) for a in report.attempts}
         assert groups == {
@@ -117,18 +117,18 @@
             ("deck", "far", "cold"): (64, 300),
         }
 
-    def test_reasons_leave_out_the_targets_name(self):
+    def test_reasons_omit_the_name_of_the_target(self):
         report = build_report(parse_lines(LINES))
         assert report.reasons == [
             ("deck", "503 no room late=1", 1),
             ("deck", "502 answer lost, reset", 1),
         ]
 
-    def test_an_empty_log_is_no_error(self):
+    def test_empty_log_gives_a_report(self):
         assert describe_report(build_report([]))
 
     @pytest.mark.parametrize("output", ["text", "json"])
-    def test_the_command_reads_files(self, tmp_path, output):
+    def test_command_reads_log_files(self, tmp_path, output):
         log = tmp_path / "entry.log"
         log.write_text("\n".join(LINES))
         command = [sys.executable, "-m", "halldoor.cli.operator", "report"]
--- a/halldoor/tests/test_teams.py
+++ b/halldoor/tests/test_teams.py
@@ -36,7 +36,7 @@
 
 
 class TestKeys:
-    def test_the_target_sees_the_team_and_never_the_key(self):
+    def test_target_receives_the_team_but_not_the_key(self):
         async def check(kit):
             extra = [*bearer(KEY), (NAMES.team, "another")]
             reply = await kit.call(extra=extra)
@@ -49,14 +49,14 @@
         run(check)
 
     @pytest.mark.parametrize("extra", [[], bearer("wrong"), [("Authorization", KEY)]])
-    def test_an_unknown_key_is_refused_and_nothing_runs(self, extra):
+    def test_unknown_key_gets_401_and_reaches_no_target(self, extra):
         async def check(kit):
             assert (await kit.call(extra=extra)).status == 401
             assert not kit.received
 
         run(check)
 
-    def test_a_public_route_needs_no_key_and_hides_what_was_sent(self):
+    def test_public_route_needs_no_key_and_forwards_none(self):
         async def check(kit):
             reply = await kit.call(extra=[*bearer("wrong"), (NAMES.team, "another")])
             (received,) = kit.received
@@ -66,14 +66,14 @@
 
         run(check, route={"is_public": True})
 
-    def test_without_teams_the_field_passes_as_before(self):
+    def test_authorization_header_is_forwarded_without_teams(self):
         async def check(kit):
             assert (await kit.call(extra=bearer("x"))).status == 200
             assert find(kit.received[0].headers, b"authorization") == b"Bearer x"
 
         run(check, teams=[])
 
-    def test_a_key_that_is_taken_away_or_moves_holds_at_once(self):
+    def test_moved_or_revoked_key_takes_effect_with_the_configuration(self):
         async def check(kit):
             kit.configure(teams=[team(keys=()), team("south", keys=(KEY,))])
             await kit.wait(lambda: kit.gateway.catalog.routing.version == kit.version)
@@ -85,7 +85,7 @@
 
         run(check)
 
-    def test_one_key_of_two_teams_refuses_the_whole_configuration(self):
+    def test_configuration_with_a_key_of_two_teams_is_refused(self):
         async def check(kit):
             kit.configure(teams=[team(), team("south")], path_prefix="/other/")
             await asyncio.sleep(0.3)
@@ -95,8 +95,8 @@
         run(check)
 
 
-class TestOldKnowledge:
-    def test_unknown_routes_and_keys_may_be_new_to_an_entry_out_of_touch(self):
+class TestStaleConfiguration:
+    def test_unknown_key_gets_503_when_the_store_is_away(self):
         async def check(kit):
             kit.store.is_down = True
             await asyncio.sleep(0.3)
@@ -106,7 +106,7 @@
 
         run(check, access=AccessSettings(stale_s=0.1))
 
-    def test_where_revocation_is_strict_old_knowledge_serves_no_key(self):
+    def test_known_key_gets_503_when_stale_and_strict(self):
         async def check(kit):
             assert (await kit.call(extra=bearer(KEY))).status == 200
             kit.store.is_down = True
@@ -116,8 +116,8 @@
         run(check, access=AccessSettings(is_strict=True, revoked_s=0.2))
 
 
-class TestHomes:
-    def test_both_the_route_and_the_team_bind(self):
+class TestHomeRegions:
+    def test_requests_run_in_the_home_region_of_the_team(self):
         async def check(kit):
             kit.write_target("t0", hall="grq-a")
             kit.write_target("t1", hall="ams-a")
@@ -128,7 +128,7 @@
 
         run(check, teams=[team(home_regions=["grq"])])
 
-    def test_no_common_region_is_refused_at_once(self):
+    def test_no_common_home_region_gets_503(self):
         async def check(kit):
             assert (await kit.call(extra=bearer(KEY))).status == 503
             assert not kit.received
@@ -137,7 +137,7 @@
 
 
 class TestQuotas:
-    def test_what_is_over_the_quota_gets_429_and_a_time_to_come_back(self):
+    def test_requests_over_the_quota_get_429_and_retry_after(self):
         async def check(kit):
             replies = [await kit.call(extra=bearer(KEY)) for _ in range(12)]
             statuses = [r.status for r in replies]
@@ -147,14 +147,14 @@
 
         run(check, teams=[team(rate_per_s=1.0, burst=4.0)])
 
-    def test_what_reached_no_target_takes_nothing(self):
+    def test_requests_that_reach_no_target_are_not_counted(self):
         async def check(kit):
             for _ in range(8):
                 assert (await kit.call(extra=bearer(KEY))).status == 503
 
         run(check, targets=0, teams=[team(rate_per_s=0.1, burst=2.0)])
 
-    def test_entries_count_together(self):
+    def test_two_entries_share_one_quota(self):
         """Two entries that don't share counts would each admit a burst of 8, and 8 a second."""
 
         async def check():
@@ -180,7 +180,7 @@
 
 
 class TestExplaining:
-    def test_no_key_stands_in_a_log_line_or_in_the_metrics(self, capfd):
+    def test_keys_are_not_written_to_logs_or_metrics(self, capfd):
         async def check(kit):
             for key in (KEY, "wrong-key-of-nobody", "another-wrong-key"):
                 for _ in range(4):
@@ -193,7 +193,7 @@
         assert '"team over its quota"' in out and '"key unknown"' in out
         assert KEY not in out and "wrong" not in out
 
-    def test_a_refused_request_tells_its_team_share_and_key_digest(self, capfd):
+    def test_refused_request_is_explained_with_team_share_and_key_digest(self, capfd):
         async def check(kit):
             await kit.call(extra=bearer("wrong"), attempt_id="unknown")
             for i in range(4):
--- a/halldoor/tests/test_withdrawals.py
+++ b/halldoor/tests/test_withdrawals.py
@@ -10,7 +10,7 @@
 
 from halldoor.core.explaining.history import parse_lines
 from halldoor.core.explaining.report import build_report, describe_report
-from halldoor.core.explaining.withdrawals import Sending
+from halldoor.core.explaining.withdrawals import SentRequest
 from halldoor.core.settings import Address
 from halldoor.core.targets.catalog import CatalogTimings
 from halldoor.gateway.plain import TargetModel
@@ -104,7 +104,7 @@
             ),
             make_request("e1", 8.0, ("t1", "not reached", 10, 10)),
         )
-        assert found.last == Sending("e1", pytest.approx(1.5), None)
+        assert found.last == SentRequest("e1", pytest.approx(1.5), None)
 
     def test_a_target_that_is_back_is_no_longer_withdrawn(self):
         gone = make_line("e2", 5.0, "targets: Gone.", target="t1", revision=7)
@@ -115,7 +115,7 @@
         late_one, early_one = list_withdrawals(gone, back, again, request, late)
         assert (early_one.at_s, early_one.last) == (pytest.approx(5.0), None)
         assert late_one.at_s == pytest.approx(20.0)
-        assert late_one.last == Sending("e2", pytest.approx(1.9), None)
+        assert late_one.last == SentRequest("e2", pytest.approx(1.9), None)
 
     def test_an_older_line_of_an_entry_that_lags_changes_nothing(self):
         drained = make_line("e2", 5.0, "targets: Draining.", target="t1", revision=7)
--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -15,7 +15,7 @@
     sign_decision,
 )
 from halldoor.core.orders import claim as claims
-from halldoor.core.orders.claim import Claim, Shard, claim, decode_shard, encode_shard
+from halldoor.core.orders.claim import Claim, Shard, claim_operations, decode_shard, encode_shard
 from halldoor.core.orders.ticket import decode_ticket
 from halldoor.core.steering.configuration import Configuration
 from halldoor.core.steering.selector import Selector
@@ -110,7 +110,7 @@
         shard, granted = Shard(), {}
         for turn, number in enumerate(numbers):
             me, operation = Claim("e", f"i{turn}"), make_id(number)
-            outcome = claim(shard, [operation], me)
+            outcome = claim_operations(shard, [operation], me)
             shard = decode_shard(encode_shard(outcome.shard))
             if outcome.holders[operation] == me:
                 assert operation not in granted
--- a/properties/test_orders.py
+++ b/properties/test_orders.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from halldoor.core.errors import Ran, Reason, Refusal, refuse, refuse_unknown
-from halldoor.core.orders.claim import Claim, Shard, claim, parse_time_ms
+from halldoor.core.orders.claim import Claim, Shard, claim_operations, parse_time_ms
 from halldoor.core.orders.ticket import Answer, Ledger, State, decode_ticket
 
 IDS = [f"01890a5d-ac96-774b-bcce-b30209{i:06x}" for i in range(2)]
@@ -24,7 +24,7 @@
         self.tickets = []
         self.sent = {}
         self.running = {}
-        self.told_not_run = set()
+        self.reported_not_run = set()
 
     def make(self, name):
         self.number += 1
@@ -45,7 +45,7 @@
         """Claim the id, then issue a ticket if the claim is new or the ledger has its record."""
         me = Claim(name, self.entries[name].incarnation)
         is_new = operation not in self.shard.claims
-        outcome = claim(self.shard, [operation], me)
+        outcome = claim_operations(self.shard, [operation], me)
         self.shard = outcome.shard
         ledger = self.entries[name]
         if outcome.holders[operation] != me or not (is_new or ledger.find(operation)):
@@ -63,21 +63,21 @@
     @rule(data=st.data())
     def present_refused(self, data):
         """Present a delayed copy of a ticket whose caller was answered that it did not run."""
-        if self.told_not_run:
-            self.present_ticket(data.draw(st.sampled_from(sorted(self.told_not_run))))
+        if self.reported_not_run:
+            self.present_ticket(data.draw(st.sampled_from(sorted(self.reported_not_run))))
 
     def present_ticket(self, text):
         ticket, payload, mac = decode_ticket(text)
         ledger = self.entries[ticket.issuer]
         if not ledger.is_genuine(ticket, payload, mac):
             return
-        taken = ledger.take(ticket, now=self.now)
+        taken = ledger.mark_sent(ticket, now=self.now)
         if isinstance(taken, Refusal):
             if taken.ran == Ran.NOT_RUN:
-                self.told_not_run.add(text)
+                self.reported_not_run.add(text)
             return
         if taken.state == State.SENT:
-            assert text not in self.told_not_run
+            assert text not in self.reported_not_run
             key = ticket.operation
             self.sent[key] = self.sent.get(key, 0) + 1
             self.running[text] = (ticket.issuer, ticket)
@@ -109,9 +109,9 @@
         else:
             # The target proved that it did not run: this attempt does not count.
             self.sent[ticket.operation] -= 1
-            self.told_not_run.add(text)
+            self.reported_not_run.add(text)
             ledger.settle_not_run(ticket, refuse(Reason.SHED, "x"))
-            fresh = ledger.renew(ticket.operation, now=self.now)
+            fresh = ledger.issue_retry(ticket.operation, now=self.now)
             if fresh:
                 self.tickets.append(fresh)
 
@@ -126,7 +126,7 @@
 TestOrders.settings = settings(max_examples=150)
 
 
-def test_time_is_read_from_the_id():
+def test_time_is_parsed_from_version_7_ids_only():
     assert parse_time_ms("01890a5d-ac96-774b-bcce-b302099a8057") == 0x01890A5DAC96
     assert parse_time_ms("not-an-id") is None
     assert parse_time_ms("01890A5D-AC96-774B-BCCE-B302099A8057") is None
--- a/properties/test_quarantine.py
+++ b/properties/test_quarantine.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from halldoor.core.quarantine.evidence import Case, Evidence, TargetEnd
+from halldoor.core.quarantine.evidence import CrashHistory, Evidence, TargetCrash
 from halldoor.core.quarantine.record import from_record, to_record
 from halldoor.core.quarantine.settings import QuarantineSettings
 from halldoor.standins.crashfleet import Fleet, Run, Trouble
@@ -22,22 +22,22 @@
 EVIDENCE = st.builds(
     Evidence,
     digest=st.just("d"),
-    ends=st.lists(st.builds(TargetEnd, TARGETS, CALLERS, st.just(1.0)), max_size=6).map(tuple),
+    ends=st.lists(st.builds(TargetCrash, TARGETS, CALLERS, st.just(1.0)), max_size=6).map(tuple),
     cleared=st.lists(TARGETS, max_size=3).map(tuple),
     was_sound=st.booleans(),
 )
 
 
 def merge(parts):
-    case = Case("d")
+    case = CrashHistory("d")
     for part in parts:
         case.merge(part, 10.0)
     evidence = case.build_evidence(10.0)
-    return ({end.target for end in evidence.ends}, evidence.was_sound, case.count_ends())
+    return ({end.target for end in evidence.ends}, evidence.was_sound, case.count_crashes())
 
 
 @given(parts=st.lists(EVIDENCE, max_size=6), source=st.randoms())
-def test_any_order_and_any_repetition_of_ends_tells_the_same(parts, source):
+def test_merging_is_independent_of_order_and_repetition(parts, source):
     parts = [part._replace(cleared=()) for part in parts]
     shuffled = [*parts, *parts]
     source.shuffle(shuffled)
@@ -45,8 +45,8 @@
 
 
 @given(parts=st.lists(EVIDENCE, max_size=6))
-def test_the_second_time_brings_nothing_new(parts):
-    case = Case("d")
+def test_merging_own_evidence_changes_nothing(parts):
+    case = CrashHistory("d")
     for part in parts:
         case.merge(part, 10.0)
     told = case.build_evidence(10.0)
@@ -55,17 +55,17 @@
 
 
 @given(part=EVIDENCE, later_ms=st.integers(0, 500_000))
-def test_a_record_tells_what_was_known_however_late_it_is_read(part, later_ms):
+def test_record_keeps_targets_and_ages_however_late_it_is_read(part, later_ms):
     read = from_record(to_record(part, 1_000_000), 1_000_000 + later_ms)
     assert [end.target for end in read.ends] == [end.target for end in part.ends]
     assert all(abs(end.age_s - 1.0 - later_ms / 1000) < 0.002 for end in read.ends)
 
 
 @given(ends=st.lists(st.tuples(TARGETS, st.floats(0.0, 1000.0)), max_size=12))
-def test_fewer_targets_than_the_limit_never_block(ends):
-    case = Case("d")
+def test_request_is_blocked_from_the_limit_of_crashed_targets(ends):
+    case = CrashHistory("d")
     for target, at in ends:
-        case.add_end(target, "c1", at)
+        case.add_crash(target, "c1", at)
     is_blocked = case.is_blocked(QuarantineSettings())
     assert is_blocked == (len({target for target, _ in ends}) >= 3)
 
@@ -87,7 +87,7 @@
     trouble=TROUBLES,
     seed=st.integers(0, 1000),
 )
-def test_all_entries_together_stop_in_time(entries, rate, trouble, seed):
+def test_all_entries_stop_sending_a_crashing_request_in_time(entries, rate, trouble, seed):
     # Messages and the store don't fail at the same time: entries would have no way to learn.
     if trouble.cut_s[0] < 99.0:
         trouble = trouble._replace(away_s=(99.0, 99.0))
@@ -98,7 +98,7 @@
 
 @settings(max_examples=15)
 @given(entries=st.sampled_from([6, 10, 75]), seed=st.integers(0, 1000))
-def test_a_sound_request_is_hardly_refused_beside_ends_of_its_targets(entries, seed):
+def test_harmless_request_is_hardly_refused_when_targets_crash(entries, seed):
     fleet = Fleet(entries=entries, bad_per_s=0.0, popular_per_s=8.0, ends_per_s=1.2)
     run = Run(fleet, Trouble(), seed=seed).play(CollectorsAndRecord(), until_s=25.0)
     assert run.refused <= 0.02 * (run.served + run.refused + run.lost)
--- a/properties/test_retry.py
+++ b/properties/test_retry.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from halldoor.core.retry import RetryFacts, RetryObstacle, find_obstacle
+from halldoor.core.retry import RetryFacts, RetryObstacle, find_retry_obstacle
 
 FACTS = st.builds(
     RetryFacts,
@@ -17,14 +17,16 @@
 
 
 @given(FACTS)
-def test_what_may_run_once_is_never_sent_again_once_it_may_have_run(facts):
+def test_unrepeatable_request_that_may_have_run_is_not_sent_again(facts):
     may_run_twice = facts.may_have_run and not facts.is_repeatable
     if may_run_twice:
-        assert find_obstacle(facts) in (RetryObstacle.MAY_HAVE_RUN, RetryObstacle.BODY_GONE)
+        assert find_retry_obstacle(facts) in (RetryObstacle.MAY_HAVE_RUN, RetryObstacle.BODY_GONE)
 
 
 @given(FACTS)
-def test_nothing_else_forbids_an_attempt_that_has_time_and_its_body(facts):
+def test_only_the_listed_obstacles_forbid_a_retry(facts):
     is_free = facts.is_repeatable or not facts.may_have_run
     has_attempt = facts.can_resend and facts.attempts < facts.attempt_limit
-    assert (find_obstacle(facts) is None) == (is_free and has_attempt and facts.left_s > 0.005)
+    assert (find_retry_obstacle(facts) is None) == (
+        is_free and has_attempt and facts.left_s > 0.005
+    )
--- a/properties/test_shifts.py
+++ b/properties/test_shifts.py
@@ -17,7 +17,7 @@
     read_block_index,
     split_configuration,
 )
-from halldoor.core.steering.routing import ServiceMeters, list_steps
+from halldoor.core.steering.routing import ServiceMeters, list_routing_steps
 from halldoor.core.steering.shift import ShiftMeter, is_chosen
 from halldoor.core.steering.snapshot import Snapshot
 from halldoor.standins.sample import make_configuration
@@ -47,7 +47,7 @@
 
 
 @given(st.floats(0.01, 1.0))
-def test_cap_is_used_and_not_only_kept(cap):
+def test_moves_use_the_whole_cap(cap):
     meter = ShiftMeter(cap)
     for _ in range(1000):
         meter.add_request()
@@ -57,7 +57,7 @@
 
 
 @given(st.text(), st.floats(0, 1), st.floats(0, 1))
-def test_chosen_blocks_only_grow_with_the_position(block, one, other):
+def test_block_chosen_at_a_position_stays_chosen_at_higher_ones(block, one, other):
     low, high = sorted((one, other))
     assert not is_chosen("s", block, low) or is_chosen("s", block, high)
 
@@ -77,7 +77,9 @@
     st.sampled_from([0.0, 0.1, 1.0]),
     st.booleans(),
 )
-def test_all_causes_together_stay_within_each_cap(clients, cap, other_cap, failover, is_down):
+def test_shifts_and_failover_together_stay_within_each_cap(
+    clients, cap, other_cap, failover, is_down
+):
     """Two shifts and failover move to one region: all moves together fit the smaller shift cap."""
     shifts = [
         {
@@ -96,8 +98,8 @@
     landed = 0
     for total, client in enumerate(clients, 1):
         meters.add_request()
-        for step in list_steps(view, client):
-            if step.charges and meters.take_move(step.charges):
+        for step in list_routing_steps(view, client):
+            if step.charges and meters.charge_move(step.charges):
                 continue
             is_home = step.hall in ("a1", "a2")
             if is_home and is_down:
@@ -108,9 +110,9 @@
     assert meters.is_within_caps()
 
 
-def test_home_comes_before_failover_and_near_before_far():
+def test_home_region_comes_before_failover_and_nearer_halls_first():
     view = make_snapshot([]).services["decks"]
-    steps = list(list_steps(view, "c"))
+    steps = list(list_routing_steps(view, "c"))
     assert [(s.hall, s.charges) for s in steps] == [
         ("a1", ()),
         ("a2", ()),
@@ -127,12 +129,12 @@
 
 
 @given(networks, st.lists(st.integers(0, 2**32 - 1), max_size=20))
-def test_packed_blocks_find_what_a_plain_search_finds(rows, addresses):
+def test_block_table_finds_the_same_hall_as_a_linear_search(rows, addresses):
     blocks = [(f"{n >> 16}.{n >> 8 & 255}.{n & 255}.0/24", hall) for n, hall in rows]
     chunks = pack_blocks(blocks)
     table = BlockTable()
     for name, data in chunks.items():
-        table.replace(name, data)
+        table.replace_chunk(name, data)
     wanted = {parse_address(str(ip_network(b)[0])): hall for b, hall in blocks}
     for address in [*addresses, *(start + 7 for start in wanted)]:
         match = table.find(address)
@@ -140,7 +142,7 @@
     assert pack_blocks(unpack_blocks(chunks)) == chunks
 
 
-def test_one_changed_block_ships_one_chunk():
+def test_changing_one_block_changes_one_chunk():
     blocks = [(f"10.{i >> 8}.{i & 255}.0/24", i % 7) for i in range(40_000)]
     before, after = (
         pack_blocks(blocks),
@@ -151,7 +153,7 @@
 
 
 @given(st.integers(0, 3), st.booleans())
-def test_configuration_survives_its_parts(targets, has_blocks):
+def test_configuration_is_rebuilt_from_its_parts(targets, has_blocks):
     data = make_configuration(halls={"a1": 1, "b1": 2}, targets=targets + 1)
     if has_blocks:
         data["client_blocks"] = [{"hall": "b1", "networks": ["10.0.0.0/8", "192.168.1.0/24"]}]
@@ -165,7 +167,7 @@
 
 
 @given(st.lists(st.sampled_from(["good", "bad", "shed", "leaving"]), min_size=4, max_size=60))
-def test_ejection_never_empties_a_set(events):
+def test_ejection_leaves_at_least_half_of_the_targets(events):
     health = HealthTable()
     names = ["t1", "t2", "t3", "t4"]
     leaving = set()
@@ -181,7 +183,7 @@
         else:
             health.mark_leaving(name, now=now)
             leaving.add(name)
-        usable = health.filter_usable(names, now)
+        usable = health.select_usable(names, now)
         staying = [n for n in names if not health.is_leaving(n, now)]
         assert len(usable) * 2 >= len(staying)
         assert set(usable) <= set(staying)
--- a/properties/test_slots.py
+++ b/properties/test_slots.py
@@ -25,7 +25,7 @@
         self.rosters = [["e1", "e2"]]
         self.tables, self.adopted = {}, {}
         for name in NAMES:
-            self.boot(name, rest={})
+            self.start_process(name, rest={})
         self.holds = {name: [] for name in NAMES}
         # Requests at the targets: slot, and the true time until which each may run.
         self.running = []
@@ -33,7 +33,7 @@
     def clock(self, name):
         return self.now * self.drift[name]
 
-    def boot(self, name, *, rest):
+    def start_process(self, name, *, rest):
         self.tables[name] = SlotTable(name)
         self.adopted[name] = 0
         self.adopt(name, rest=rest)
@@ -119,7 +119,7 @@
     @rule(name=st.sampled_from(NAMES))
     def kill_and_restart(self, name):
         self.holds[name] = []
-        self.boot(name, rest=None)
+        self.start_process(name, rest=None)
 
     @rule(
         roster=st.sampled_from([["e1", "e2"], ["e1", "e2", "e3"], ["e2", "e3"], ["e3", "e1"]]),
@@ -168,7 +168,7 @@
 
 
 @given(rosters(), st.integers(1, 12))
-def test_homes_are_even_and_leave_no_slot_out(roster, slots):
+def test_slots_are_assigned_evenly_and_completely(roster, slots):
     homes = assign_homes("t", slots, roster)
     counts = [homes.count(name) for name in roster]
     assert len(homes) == slots
