--- a/halldoor/gateway/access.py
+++ b/halldoor/gateway/access.py
@@ -15,7 +15,7 @@
     RefusalReason,
 )
 from halldoor.core.teams.gate import QuotaGate
-from halldoor.gateway.attempt import RETRY_AFTER_S, build_own_answer, spread
+from halldoor.gateway.attempt import RETRY_AFTER_S, build_gateway_answer, randomize_retry_after
 from halldoor.gateway.caller import Answer, Head
 from halldoor.gateway.headers import HeaderNames, find
 
@@ -71,7 +71,7 @@
             self.gate.set_limits(self._table.teams.get_limits())
         return self._table
 
-    def enter(self, head: Head, now: float) -> AdmittedRequest | Refusal:
+    def admit(self, head: Head, now: float) -> AdmittedRequest | Refusal:
         """Admit a request by its head: return its route and team, or the refusal."""
         if self._is_confirming():
             # The request may have waited unread during the suspension: its caller may be gone.
@@ -95,8 +95,8 @@
         after_s = RETRY_AFTER_S
         if refusal.quota is not None:
             after_s = refusal.quota.retry_after_s
-        return build_own_answer(
+        return build_gateway_answer(
             refusal.status,
             refusal.reason.value,
-            retry_after_s=spread(after_s, self._random),
+            retry_after_s=randomize_retry_after(after_s, self._random),
         )
--- a/halldoor/gateway/attempt.py
+++ b/halldoor/gateway/attempt.py
@@ -21,9 +21,9 @@
 REST_SPREAD = 0.5
 """Fraction by which ``Retry-After`` may grow when all targets asked for a pause; it never shrinks,
 since nothing is served earlier."""
-ROUNDING_S = 0.01
+RETRY_AFTER_ROUNDING_S = 0.01
 """Time added because ``Retry-After`` is written with two decimals, in seconds."""
-RETRY_AFTER_MOST_S = 0.8
+MAX_RETRY_AFTER_S = 0.8
 """Greatest ``Retry-After`` without a request of targets, in seconds: a third of what callers have
 left of 2.5 s, after which they return in any case."""
 DEFAULT_DEADLINE_S = 30.0
@@ -143,7 +143,7 @@
         }
 
 
-class Ending(NamedTuple):
+class RequestResult(NamedTuple):
     """Final result of a request: the answer's status and what is logged.
 
     Attributes
@@ -187,7 +187,7 @@
         self.attempts: list[Attempt] = []
 
     @property
-    def tried(self) -> list[str]:
+    def tried_targets(self) -> list[str]:
         """Names of the targets of all attempts."""
         return [attempt.target for attempt in self.attempts]
 
@@ -201,33 +201,33 @@
         """Check whether a target may have run the request."""
         return any(attempt.result.may_have_run for attempt in self.attempts)
 
-    def build_give_up(
+    def build_unanswered_result(
         self,
         reason: str,
         *,
         is_late: bool = False,
-        room_after_s: float = 0.0,
+        slot_free_after_s: float = 0.0,
         is_asked: bool = False,
-    ) -> Ending:
+    ) -> RequestResult:
         """Build the result of a request that no target answered.
 
         Parameters
         ----------
         is_late : bool, optional
             Whether its time ran out.
-        room_after_s : float, optional
+        slot_free_after_s : float, optional
             Expected time until a target has a free slot, in seconds; 0 if unknown.
         is_asked : bool, optional
             Whether targets requested this time, so that no retry succeeds earlier.
         """
         if not self.may_have_run:
             if is_asked:
-                return Ending(503, reason, retry_after_s=room_after_s, is_asked=True)
-            after_s = min(RETRY_AFTER_MOST_S, max(RETRY_AFTER_S, room_after_s))
-            return Ending(503, reason, retry_after_s=after_s)
-        return Ending(504 if is_late else 502, reason)
+                return RequestResult(503, reason, retry_after_s=slot_free_after_s, is_asked=True)
+            after_s = min(MAX_RETRY_AFTER_S, max(RETRY_AFTER_S, slot_free_after_s))
+            return RequestResult(503, reason, retry_after_s=after_s)
+        return RequestResult(504 if is_late else 502, reason)
 
-    def build_last_failure(self, obstacle: RetryObstacle, *, rest_s: float = 0.0) -> Ending:
+    def build_failed_result(self, obstacle: RetryObstacle, *, rest_s: float = 0.0) -> RequestResult:
         """Build the result of a request whose last attempt failed and may not be retried.
 
         Parameters
@@ -237,15 +237,15 @@
         """
         last = self.attempts[-1]
         reason = f"{last.target}: {last.result}, {last.detail}; {obstacle}"
-        return self.build_give_up(
+        return self.build_unanswered_result(
             reason,
             is_late=obstacle is RetryObstacle.NO_TIME,
-            room_after_s=rest_s,
+            slot_free_after_s=rest_s,
             is_asked=rest_s > 0,
         )
 
 
-def read_ms(value: bytes) -> float:
+def parse_deadline_s(value: bytes) -> float:
     """Parse a deadline header in milliseconds; return seconds, or the default if unreadable."""
     try:
         return max(0.0, float(value) / 1000)
@@ -253,17 +253,19 @@
         return DEFAULT_DEADLINE_S
 
 
-def spread(after_s: float, source: Random) -> float:
+def randomize_retry_after(after_s: float, generator: Random) -> float:
     """Randomize a retry time in both directions, so that callers don't return together."""
-    return after_s * source.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD)
+    return after_s * generator.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD)
 
 
-def spread_later(after_s: float, source: Random) -> float:
+def randomize_requested_rest(after_s: float, generator: Random) -> float:
     """Randomize a retry time upwards only, since no target serves earlier."""
-    return after_s * source.uniform(1.0, 1.0 + REST_SPREAD) + ROUNDING_S
+    return after_s * generator.uniform(1.0, 1.0 + REST_SPREAD) + RETRY_AFTER_ROUNDING_S
 
 
-def build_own_answer(status: int, reason: str, *, retry_after_s: float = RETRY_AFTER_S) -> Answer:
+def build_gateway_answer(
+    status: int, reason: str, *, retry_after_s: float = RETRY_AFTER_S
+) -> Answer:
     """Build an answer from the gateway itself, with ``Retry-After`` if the request did not run."""
     headers: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
     if status in NOT_RUN_STATUSES:
--- a/halldoor/gateway/body.py
+++ b/halldoor/gateway/body.py
@@ -5,15 +5,15 @@
 import asyncio
 
 from halldoor.core.quarantine.identity import Identity, identify_request
-from halldoor.gateway.attempt import Ending, RequestState
+from halldoor.gateway.attempt import RequestResult, RequestState
 from halldoor.gateway.caller import BodyTooLongError, CallerConnection
-from halldoor.gateway.exchange import BODY_BUFFER, OutgoingRequest
+from halldoor.gateway.exchange import BODY_BUFFER_BYTES, OutgoingRequest
 from halldoor.gateway.headers import Headers, find
 
 
 async def read_request(
     caller: CallerConnection, state: RequestState, headers: Headers, expires_at: float
-) -> OutgoingRequest | Ending:
+) -> OutgoingRequest | RequestResult:
     """Read the body up to `BODY_BUFFER_BYTES`, and identify the request for the quarantine.
 
     Parameters
@@ -27,16 +27,16 @@
     rest: CallerConnection | None = caller
     try:
         async with asyncio.timeout_at(expires_at):
-            while len(body) <= BODY_BUFFER:
+            while len(body) <= BODY_BUFFER_BYTES:
                 piece = await caller.read_body()
                 if piece is None:
                     rest = None
                     break
                 body += piece
     except TimeoutError:
-        return Ending(408, "body came too slowly")
+        return RequestResult(408, "body came too slowly")
     except BodyTooLongError:
-        return Ending(413, "body too long")
+        return RequestResult(413, "body too long")
     state.identity = _identify(caller, state, bytes(body), is_whole=rest is None)
     return OutgoingRequest(
         state.head,
@@ -60,6 +60,6 @@
         method=head.method,
         host=find(head.headers, b"host"),
         target=head.target,
-        body=body[:BODY_BUFFER],
+        body=body[:BODY_BUFFER_BYTES],
         length=b"" if is_whole else find(head.headers, b"content-length"),
     )
--- a/halldoor/gateway/caller.py
+++ b/halldoor/gateway/caller.py
@@ -90,7 +90,7 @@
             h11.SERVER, max_incomplete_event_size=read_limits().head_bytes + READ_AHEAD
         )
         self._task: asyncio.Task[None] | None = None
-        self._has_ended = False
+        self._is_closed = False
         self._unread = 0
         self.is_closing = is_closing()
         self.is_busy = False
@@ -117,30 +117,30 @@
         self._unread += len(data)
         if self._unread > READ_AHEAD:
             self._transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
         """Handle the end of the caller's stream as a disconnect."""
-        self._leave()
+        self._handle_disconnect()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Handle the loss of the socket as a disconnect."""
-        self._leave()
+        self._handle_disconnect()
 
-    def _leave(self) -> None:
+    def _handle_disconnect(self) -> None:
         """Mark the connection closed and cancel a running request, whose answer is not needed."""
-        self._has_ended = True
+        self._is_closed = True
         self._connections.discard(self)
         self._drained.set()
-        self._wake()
+        self._wake_reader()
         if self._task is not None and self.is_busy:
             self._task.cancel()
 
     async def _next_event(self) -> Any:
         """Wait for the next h11 event; return None if the caller has disconnected."""
         while True:
-            if self._has_ended:
+            if self._is_closed:
                 return None
             event = self._h11.next_event()
             if event is not h11.NEED_DATA:
@@ -178,7 +178,7 @@
     def _write(self, *events: Any) -> None:
         """Serialize h11 events and send them in one write, unless the caller disconnected."""
         data = b"".join(self._h11.send(event) or b"" for event in events)
-        if data and not self._has_ended:
+        if data and not self._is_closed:
             self._transport.write(data)
 
     def send_head(self, status: int, headers: Headers, reason: bytes = b"") -> None:
@@ -199,7 +199,7 @@
         self._write(h11.Data(data=data))
         await self._drained.wait()
 
-    def end(self) -> None:
+    def finish_answer(self) -> None:
         """Mark the answer as complete on the wire."""
         self._write(h11.EndOfMessage())
 
@@ -213,7 +213,7 @@
 
     def abort(self) -> None:
         """Abort the connection, so that a truncated answer doesn't look complete."""
-        self._has_ended = True
+        self._is_closed = True
         self._transport.abort()
 
     def close_if_idle(self) -> None:
@@ -225,10 +225,10 @@
     async def _run(self) -> None:
         """Answer requests until either side closes the connection."""
         try:
-            while not self._has_ended and await self._serve_one():
+            while not self._is_closed and await self._serve_one():
                 pass
         except h11.RemoteProtocolError as exc:
-            self._refuse_bad(exc)
+            self._answer_protocol_error(exc)
         finally:
             self._connections.discard(self)
             self._transport.close()
@@ -257,7 +257,7 @@
         idle_s = limits.idle_timeout_s + IDLE_SLACK_S
         try:
             async with asyncio.timeout(idle_s) as timer:
-                event = await self._next_event_started(
+                event = await self._wait_for_request(
                     lambda: timer.reschedule(loop.time() + limits.head_timeout_s)
                 )
         except TimeoutError:
@@ -272,11 +272,11 @@
             return None
         return Head(event.method, event.target, headers, loop.time())
 
-    async def _next_event_started(self, on_start: Callable[[], None]) -> Any:
+    async def _wait_for_request(self, on_start: Callable[[], None]) -> Any:
         """Wait for the next h11 event; call `on_start` when its first bytes arrive."""
         event = self._h11.next_event()
         while event is h11.NEED_DATA:
-            if self._has_ended:
+            if self._is_closed:
                 return None
             if self._h11.trailing_data[0]:
                 on_start()
@@ -287,7 +287,7 @@
 
     async def _finish_request(self) -> bool:
         """Prepare for the next request; return False if the connection must close."""
-        if self._has_ended:
+        if self._is_closed:
             return False
         if self._h11.their_state is h11.SEND_BODY:
             await self._linger()
@@ -304,9 +304,9 @@
                 while isinstance(await self._next_event(), h11.Data):
                     pass
 
-    def _refuse_bad(self, exc: h11.RemoteProtocolError) -> None:
+    def _answer_protocol_error(self, exc: h11.RemoteProtocolError) -> None:
         """Send an error for invalid HTTP, unless an answer has started already."""
-        if not self._has_ended and self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+        if not self._is_closed and self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._send_error(exc.error_status_hint)
 
     def _send_error(self, status: int) -> None:
--- a/halldoor/gateway/connection.py
+++ b/halldoor/gateway/connection.py
@@ -67,7 +67,7 @@
         self._error: BaseException | None = None
         self._is_closed = False
         self._is_idle = True
-        self._says_close = False
+        self._peer_will_close = False
         self.exchanges = 0
         self.has_sent = False
         self.idle_since = 0.0
@@ -132,7 +132,7 @@
             self._error = exc
         if len(self._h11.trailing_data[0]) > READ_LIMIT:
             self._transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
         """Record that the peer closed its side of the connection."""
@@ -144,7 +144,7 @@
         except h11.RemoteProtocolError as exc:
             self._error = exc
         self._is_closed = True
-        self._wake()
+        self._wake_reader()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -153,9 +153,9 @@
             self._error = exc
         self._is_closed = True
         self._drained.set()
-        self._wake()
+        self._wake_reader()
 
-    def start(self) -> None:
+    def start_exchange(self) -> None:
         """Start an exchange: one request and its answer."""
         self._is_idle = False
         self.has_sent = False
@@ -167,7 +167,7 @@
         return self.exchanges > 1
 
     @property
-    def has_fallen_silent(self) -> bool:
+    def has_ack_timeout(self) -> bool:
         """Check whether the connection failed because the peer stopped acknowledging bytes."""
         return isinstance(self._error, TimeoutError)
 
@@ -210,7 +210,7 @@
             if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
                 raise PeerClosedError("closed without an answer")
             if isinstance(event, h11.Response):
-                self._note_keep_alive(event)
+                self._read_keep_alive(event)
             return event
 
     def can_skip_answer(self) -> bool:
@@ -237,11 +237,11 @@
         except h11.LocalProtocolError as exc:
             raise ConnectionBrokenError(f"closed after another's answer: {exc}") from exc
 
-    def _note_keep_alive(self, response: h11.Response) -> None:
+    def _read_keep_alive(self, response: h11.Response) -> None:
         """Read from the answer whether and how long the peer keeps the connection open."""
-        self._says_close = b"close" in find(response.headers, b"connection").lower()
-        for part in find(response.headers, b"keep-alive").lower().split(b","):
-            name, _, value = part.strip().partition(b"=")
+        self._peer_will_close = b"close" in find(response.headers, b"connection").lower()
+        for parameter in find(response.headers, b"keep-alive").lower().split(b","):
+            name, _, value = parameter.strip().partition(b"=")
             if name == b"timeout" and value.isdigit():
                 # The peer may close up to a second before the timeout it announced.
                 self.idle_limit_s = max(0.0, int(value) - 1.0)
@@ -250,7 +250,7 @@
         """Check whether both sides completed the exchange and the connection stays open."""
         return (
             not self._is_closed
-            and not self._says_close
+            and not self._peer_will_close
             and self._error is None
             and self._h11.our_state is h11.DONE
             and self._h11.their_state is h11.DONE
@@ -281,6 +281,6 @@
     def close(self) -> None:
         """Abort the connection, so that the peer can cancel its work."""
         self._is_closed = True
-        self._wake()
+        self._wake_reader()
         if self._transport is not None:
             self._transport.abort()
--- a/halldoor/gateway/eventlog.py
+++ b/halldoor/gateway/eventlog.py
@@ -19,16 +19,16 @@
 
 QUEUE_LIMIT = 2_000
 """Greatest number of queued lines; about 600 kB."""
-ORDINARY_PER_S = 16.0
+SUCCESS_LINES_PER_S = 16.0
 """Lines per second for successes within their latency aim; above this rate they are sampled.
 
 Failed, late and retried requests and all events are written up to `LINES_PER_S`.
 """
-PACE_S = 2.0
+SUCCESS_AVERAGE_S = 2.0
 """Time constant of the average rate of ordinary successes, in seconds."""
 LINES_PER_S = 100.0
 """Sustained limit in lines per second; a busy entry answers several hundred requests a second."""
-LINES_AT_ONCE = 400
+MAX_BURST_LINES = 400
 """Greatest burst, in lines."""
 
 
@@ -46,10 +46,10 @@
     def __init__(self, name: str, *, fd: int = 1) -> None:
         self._fd = fd
         self._queue: queue.Queue[bytes | None] = queue.Queue(QUEUE_LIMIT)
-        self._credit = float(LINES_AT_ONCE)
+        self._credit = float(MAX_BURST_LINES)
         self._credit_at = clock.read_seconds()
         self._dropped = 0
-        self._pace = _Pace()
+        self._success_rate = _SuccessRate()
         self._render = structlog.processors.JSONRenderer()
         self._name = name
         self._writer = threading.Thread(target=self._write, name="log", daemon=True)
@@ -65,7 +65,7 @@
         text : str
             What happened, as a short sentence.
         """
-        self._put(f"{part}: {text}", fields)
+        self._enqueue(f"{part}: {text}", fields)
 
     def request(self, attempt_id: str, status: int, outcome: str, **fields: Any) -> None:
         """Log a finished request: every failed, late or retried one, and a sample of the others.
@@ -76,7 +76,9 @@
         is_ordinary = status < 400 and not is_late and len(fields.get("attempts", ())) <= 1
         stands_for = 1
         if is_ordinary:
-            stands_for = math.ceil(self._pace.add(clock.read_seconds()) / ORDINARY_PER_S)
+            stands_for = math.ceil(
+                self._success_rate.add(clock.read_seconds()) / SUCCESS_LINES_PER_S
+            )
             if not _is_sampled(attempt_id, stands_for):
                 return
         fields |= {
@@ -85,13 +87,13 @@
             "outcome": outcome,
             "stands_for": stands_for,
         }
-        self._put("request: Ended.", fields)
+        self._enqueue("request: Ended.", fields)
 
-    def _put(self, text: str, fields: dict[str, Any]) -> None:
+    def _enqueue(self, text: str, fields: dict[str, Any]) -> None:
         """Queue a line, or count it as dropped if the rate limit or the queue is exhausted."""
         now = clock.read_seconds()
         gained = (now - self._credit_at) * LINES_PER_S
-        self._credit = min(float(LINES_AT_ONCE), self._credit + gained)
+        self._credit = min(float(MAX_BURST_LINES), self._credit + gained)
         self._credit_at = now
         if self._credit < 1.0:
             self._dropped += 1
@@ -131,7 +133,7 @@
         self._writer.join(timeout_s)
 
 
-class _Pace:
+class _SuccessRate:
     """Exponentially averaged rate of ordinary successes per second."""
 
     def __init__(self) -> None:
@@ -140,9 +142,9 @@
 
     def add(self, now: float) -> float:
         """Count one success; return the rate per second, averaged over `SUCCESS_AVERAGE_S`."""
-        self._count = self._count * math.exp((self._at - now) / PACE_S) + 1.0
+        self._count = self._count * math.exp((self._at - now) / SUCCESS_AVERAGE_S) + 1.0
         self._at = now
-        return self._count / PACE_S
+        return self._count / SUCCESS_AVERAGE_S
 
 
 def _is_sampled(attempt_id: str, stands_for: int) -> bool:
--- a/halldoor/gateway/exchange.py
+++ b/halldoor/gateway/exchange.py
@@ -20,17 +20,17 @@
 from halldoor.gateway.headers import HeaderNames, Headers, drop_hop_by_hop, find, replace
 from halldoor.gateway.pool import TargetPool
 
-BODY_BUFFER = 524_288
+BODY_BUFFER_BYTES = 524_288
 """Bytes of a body that are buffered before sending; the rest of a longer one is streamed.
 
 A request whose body is buffered whole can be retried at another target after a rejection.
 """
-ANSWER_BUFFER = 262_144
+ANSWER_BUFFER_BYTES = 262_144
 """Bytes of an answer that are buffered before its head is forwarded.
 
 If the connection breaks within them, the request can still be retried or answered with an error.
 """
-SURPLUS_LIMIT = 3
+MAX_SURPLUS_ANSWERS = 3
 """Answers of earlier exchanges that are skipped while waiting for a request's own.
 
 A faulty target sends one surplus answer at a time; more mean that the connection is out of sync.
@@ -161,7 +161,7 @@
     """The deadline of a request passed before it was sent."""
 
 
-class Exchanger:
+class TargetExchanger:
     """Sender of requests to targets over kept and new connections.
 
     Parameters
@@ -193,10 +193,12 @@
             caller are not forwarded.
         """
         names = self._names
-        own = {b"expect", names.deadline_ms, names.expected_incarnation}
+        not_forwarded = {b"expect", names.deadline_ms, names.expected_incarnation}
         if has_teams:
-            own |= {names.credentials, names.team}
-        headers = [(n, v) for n, v in drop_hop_by_hop(head.headers) if n.lower() not in own]
+            not_forwarded |= {names.credentials, names.team}
+        headers = [
+            (n, v) for n, v in drop_hop_by_hop(head.headers) if n.lower() not in not_forwarded
+        ]
         return [*headers, (names.team, team.encode())] if team else headers
 
     async def send(
@@ -226,14 +228,16 @@
                 return NotSent(), connecting
             if connecting.is_reused:
                 # A slow target looks the same as a connection that lost its peer long ago.
-                self._pool.note_loss(incarnation, is_silent=False)
+                self._pool.close_after_loss(incarnation, is_unacknowledged=False)
             return TimedOut(), connecting
         except ConnectionFailedError as exc:
-            self._pool.forget(incarnation)
+            self._pool.close_target(incarnation)
             return ConnectFailed(str(exc), exc.is_refused), connecting
         except ConnectionBrokenError as exc:
             if connecting.is_reused and connection is not None:
-                self._pool.note_loss(incarnation, is_silent=connection.has_fallen_silent)
+                self._pool.close_after_loss(
+                    incarnation, is_unacknowledged=connection.has_ack_timeout
+                )
             return AnswerLost(str(exc), isinstance(exc, PeerClosedError)), connecting
         finally:
             if connection is not None and not is_settled:
@@ -243,11 +247,11 @@
         self, connection: HttpConnection, outgoing: OutgoingRequest, incarnation: str
     ) -> Outcome:
         """Send and receive concurrently: a target may answer before it has read the whole body."""
-        connection.start()
+        connection.start_exchange()
         sender = asyncio.get_running_loop().create_task(
             self._send_request(connection, outgoing, incarnation)
         )
-        sender.add_done_callback(lambda task: _end_if_failed(task, connection))
+        sender.add_done_callback(lambda task: _close_if_sending_failed(task, connection))
         try:
             return await self._read_answer(connection, outgoing)
         except ConnectionBrokenError:
@@ -303,14 +307,14 @@
         """Read the answer's head and its body up to `ANSWER_BUFFER_BYTES`."""
         response = await self._read_head(connection, outgoing)
         headers = list(response.headers.raw_items())
-        problem = self._find_problem(response.status_code, headers, outgoing)
-        if problem:
-            return AnswerLost(problem)
+        fault = self._find_answer_fault(response.status_code, headers, outgoing)
+        if fault:
+            return AnswerLost(fault)
         body = bytearray()
-        while len(body) <= ANSWER_BUFFER:
+        while len(body) <= ANSWER_BUFFER_BYTES:
             event = await connection.receive()
             if isinstance(event, h11.EndOfMessage):
-                return self._judge(response, headers, bytes(body))
+                return self._classify_answer(response, headers, bytes(body))
             body += event.data
         answer = Answer(response.status_code, headers, bytes(body), response.reason)
         return PartialAnswer(answer, connection)
@@ -328,16 +332,16 @@
             response = await connection.receive()
             if isinstance(response, h11.InformationalResponse):
                 continue
-            own = find(response.headers, self._names.attempt_id) == outgoing.attempt_id
+            is_own_answer = find(response.headers, self._names.attempt_id) == outgoing.attempt_id
             # h11 derives from the request's method whether an answer has a body, and loses that
             # information after a skipped answer: so answers to HEAD are not skipped.
             can_skip = connection.can_skip_answer() and outgoing.head.method != b"HEAD"
-            if own or surplus >= SURPLUS_LIMIT or not can_skip:
+            if is_own_answer or surplus >= MAX_SURPLUS_ANSWERS or not can_skip:
                 return response
             surplus += 1
             await connection.skip_answer()
 
-    def _find_problem(self, status: int, headers: Headers, outgoing: OutgoingRequest) -> str:
+    def _find_answer_fault(self, status: int, headers: Headers, outgoing: OutgoingRequest) -> str:
         """Return why an answer is not valid for this request; empty if it is valid."""
         names = self._names
         if find(headers, names.attempt_id) != outgoing.attempt_id:
@@ -348,7 +352,7 @@
             return "success without a signature"
         return ""
 
-    def _judge(self, response: h11.Response, headers: Headers, body: bytes) -> Outcome:
+    def _classify_answer(self, response: h11.Response, headers: Headers, body: bytes) -> Outcome:
         """Classify a complete answer: a rejection that did not run, or an answer to the request."""
         status = response.status_code
         if status == 421:
@@ -368,7 +372,7 @@
     return 0, []
 
 
-def _end_if_failed(sender: asyncio.Task[None], connection: HttpConnection) -> None:
+def _close_if_sending_failed(sender: asyncio.Task[None], connection: HttpConnection) -> None:
     """Close the connection if its request could not be sent completely."""
     if _find_sending_failure(sender) is not None:
         connection.close()
--- a/halldoor/gateway/feedback.py
+++ b/halldoor/gateway/feedback.py
@@ -40,7 +40,7 @@
 """Status with which a target reports that the deadline passed."""
 
 
-class Sending(NamedTuple):
+class SentAttempt(NamedTuple):
     """One attempt: the chosen target and what was sent to it.
 
     Attributes
@@ -130,7 +130,7 @@
 
     def add_outcome(
         self,
-        sent: Sending,
+        sent: SentAttempt,
         outcome: Outcome,
         connecting: Connecting,
         now: float,
@@ -147,7 +147,7 @@
         match outcome:
             case WholeAnswer(answer) if answer.status < SERVER_ERROR:
                 self._add_success(sent, now, took_s=took_s, connect_s=connecting.took_s)
-                self._tell(sent, answer, took_s=took_s - connecting.took_s)
+                self._report_observation(sent, answer, took_s=took_s - connecting.took_s)
                 return AttemptResult.ANSWERED, str(answer.status)
             case WholeAnswer(answer):
                 is_slow = answer.status == GATEWAY_TIMEOUT
@@ -157,7 +157,7 @@
                 return AttemptResult.ANSWERED, f"{answer.status}, more to come"
             case Rejected(status, is_other_incarnation):
                 if is_other_incarnation:
-                    self._drop(name)
+                    self._remove_replaced_target(name)
                 else:
                     self._outliers.add_shed(name, now)
                 return AttemptResult.NOT_RUN, str(status)
@@ -177,7 +177,9 @@
             case BodyFailed(detail):
                 return AttemptResult.BODY_FAILED, detail
 
-    def _add_success(self, sent: Sending, now: float, *, took_s: float, connect_s: float) -> None:
+    def _add_success(
+        self, sent: SentAttempt, now: float, *, took_s: float, connect_s: float
+    ) -> None:
         """Update latency and outlier models by the duration of a successful answer."""
         target = sent.choice.target
         self._latency.add_answer(
@@ -191,7 +193,7 @@
         if self._outliers.add_success(target.name, target.record.service, took_s, now):
             self._log.event("targets", "Ejected a slow target.", target=target.name)
 
-    def _tell(self, sent: Sending, answer: Answer, *, took_s: float) -> None:
+    def _report_observation(self, sent: SentAttempt, answer: Answer, *, took_s: float) -> None:
         """Send the observation of a successful answer to other entries."""
         if self.on_observation is None:
             return
@@ -209,22 +211,24 @@
             )
         )
 
-    def add_observation(self, seen: Observation, now: float) -> None:
+    def add_observation(self, observation: Observation, now: float) -> None:
         """Update the models by an answer that another entry of the hall received."""
-        target = self._catalog.find_target(seen.target)
+        target = self._catalog.find_target(observation.target)
         if target is None:
             return
-        if seen.slots > 0 and self._chooser.settings.uses_reports:
-            report = LoadReport(seen.running, seen.waiting, seen.slots)
-            own = self._chooser.in_flight[target.name]
-            self._loads.add(target.name, report, now, own=own, service=target.record.service)
+        if observation.slots > 0 and self._chooser.settings.uses_reports:
+            report = LoadReport(observation.running, observation.waiting, observation.slots)
+            own_in_flight = self._chooser.in_flight[target.name]
+            self._loads.add(
+                target.name, report, now, own=own_in_flight, service=target.record.service
+            )
         self._latency.add_answer(
-            seen.kind,
+            observation.kind,
             target.name,
             target.record.hall,
-            seen.key,
-            took_s=seen.took_ms / 1000,
-            has_waited=seen.has_waited,
+            observation.key,
+            took_s=observation.took_ms / 1000,
+            has_waited=observation.has_waited,
         )
 
     def add_failure(
@@ -244,7 +248,7 @@
 
     def forget_target(self, name: str) -> None:
         """Close the connections to a removed target and delete its data from all models."""
-        self._pool.forget(name)
+        self._pool.close_target(name)
         self._outliers.forget(name)
         self._loads.forget(name)
         self._latency.forget(name)
@@ -256,10 +260,12 @@
             return
         report = LoadReport.from_text(find(outcome.answer.headers, self._names.load))
         if report is not None:
-            own = self._chooser.in_flight[target.name]
-            self._loads.add(target.name, report, now, own=own, service=target.record.service)
+            own_in_flight = self._chooser.in_flight[target.name]
+            self._loads.add(
+                target.name, report, now, own=own_in_flight, service=target.record.service
+            )
 
-    def _drop(self, name: str) -> None:
+    def _remove_replaced_target(self, name: str) -> None:
         """Remove a target whose address is now used by another incarnation."""
         self._catalog.drop_target(name)
         self.forget_target(name)
--- a/halldoor/gateway/flow.py
+++ b/halldoor/gateway/flow.py
@@ -23,7 +23,7 @@
         """Release waiting writers, since the write buffer has drained."""
         self._drained.set()
 
-    def _wake(self) -> None:
+    def _wake_reader(self) -> None:
         """Wake the waiting reader, if there is one."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
--- a/halldoor/gateway/flows.py
+++ b/halldoor/gateway/flows.py
@@ -11,7 +11,7 @@
 from halldoor.gateway.metrics import GatewayMetrics
 
 
-class FlowWatch:
+class RegionFlowCounter:
     """Counter of sent requests by region.
 
     Parameters
@@ -60,7 +60,7 @@
             store_age_ms=round((now - self._catalog.store_contact_at) * 1000),
         )
 
-    def _find_reason(self, route: Route, region: str, place: int, *, is_retry: bool) -> RunReason:
+    def _find_reason(self, route: Route, region: str, rank: int, *, is_retry: bool) -> RunReason:
         """Return why a request runs in the target's region."""
         if region == self._own_region:
             return RunReason.NEAR
@@ -68,4 +68,4 @@
             return RunReason.HOME
         if is_retry:
             return RunReason.RETRIED
-        return RunReason.SPILLED if place else RunReason.FIRST
+        return RunReason.SPILLED if rank else RunReason.FIRST
--- a/halldoor/gateway/following.py
+++ b/halldoor/gateway/following.py
@@ -68,20 +68,20 @@
             case TargetGone(incarnation) if self._catalog.find_target(incarnation) is None:
                 self._note_gone(incarnation)
             case EvidenceSeen(evidence):
-                self._quarantine.take_record(evidence)
+                self._quarantine.apply_stored_record(evidence)
             case EvidenceGone(digest):
-                self._quarantine.lose_record(digest)
+                self._quarantine.remove_stored_record(digest)
             case MemberSeen():
-                self._quarantine.note_members()
+                self._quarantine.update_collectors()
             case MemberGone(name) if name == self._own_name and not self._is_stopping():
                 self._log.event("membership", "Own record is gone; writing it again.")
                 self._registration.note_gone()
             case MemberGone():
-                self._quarantine.note_members()
+                self._quarantine.update_collectors()
 
     def _note_gone(self, incarnation: str) -> None:
         """Notify the components that one incarnation of a target is gone."""
         self._feedback.forget_target(incarnation)
-        self._quarantine.note_gone(incarnation)
+        self._quarantine.record_target_gone(incarnation)
         self._cold_state.forget(incarnation)
         self._limits.forget(incarnation)
--- a/halldoor/gateway/httpclient.py
+++ b/halldoor/gateway/httpclient.py
@@ -17,9 +17,9 @@
 
 CONNECT_S = 1.0
 """Connect timeout, in seconds; one lost packet costs about one second."""
-IDLE_S = 5.0
+IDLE_LIMIT_S = 5.0
 """Greatest idle time of a kept connection, in seconds."""
-IDLE_KEPT = 2
+MAX_IDLE = 2
 """Greatest number of idle connections: one for the watch, one for other calls."""
 
 
@@ -77,9 +77,9 @@
             async with asyncio.timeout(timeout_s):
                 connection = await self._connect(timeout_s)
                 answer = await self._exchange(connection, method, target, body, headers or [])
-            is_kept = connection.can_be_reused() and len(self._idle) < IDLE_KEPT
+            is_kept = connection.can_be_reused() and len(self._idle) < MAX_IDLE
             if is_kept:
-                connection.mark_idle(asyncio.get_running_loop().time(), idle_limit_s=IDLE_S)
+                connection.mark_idle(asyncio.get_running_loop().time(), idle_limit_s=IDLE_LIMIT_S)
                 self._idle.append(connection)
             return answer
         except (TimeoutError, ConnectionFailedError, ConnectionBrokenError) as exc:
@@ -111,7 +111,7 @@
         extra: Headers,
     ) -> HttpAnswer:
         """Send one request over a connection and read the complete answer."""
-        connection.start()
+        connection.start_exchange()
         headers: Headers = [
             (b"Host", str(self._address).encode()),
             (b"Content-Length", str(len(body)).encode()),
--- a/halldoor/gateway/limits.py
+++ b/halldoor/gateway/limits.py
@@ -14,9 +14,9 @@
 from halldoor.gateway.metrics import GatewayMetrics
 from halldoor.gateway.notices import NoticeSender
 
-PERIOD_S = 0.25
+SEND_INTERVAL_S = 0.25
 """Interval between messages, in seconds."""
-REFRESH_S = 2.0
+REPEAT_INTERVAL_S = 2.0
 """Interval at which an unchanged limit is sent again, in seconds, so that other entries learn it
 without sending requests to the target, and a lost message is replaced."""
 
@@ -49,8 +49,8 @@
         self._sender = sender
         self._log = log
         self._metrics = metrics
-        self._waiting: dict[str, LimitNotice] = {}
-        self._noticed_at: dict[str, float] = {}
+        self._queued: dict[str, LimitNotice] = {}
+        self._queued_at: dict[str, float] = {}
         port.receive(MessageKind.LIMITS, list[LimitNotice], self._receive)
 
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
@@ -66,27 +66,27 @@
                 "targets", "A target sent an unreadable limit.", target=target.name, cause=str(exc)
             )
             return
-        is_news = self._apply(target, limit_per_s, now, now, source="answer")
-        if is_news or now - self._noticed_at.get(target.name, 0.0) >= REFRESH_S:
-            self._noticed_at[target.name] = now
+        has_changed = self._apply(target, limit_per_s, now, now, source="answer")
+        if has_changed or now - self._queued_at.get(target.name, 0.0) >= REPEAT_INTERVAL_S:
+            self._queued_at[target.name] = now
             started_ms = target.record.started_ms
-            self._waiting[target.name] = LimitNotice(target.name, started_ms, limit_per_s, 0.0)
+            self._queued[target.name] = LimitNotice(target.name, started_ms, limit_per_s, 0.0)
 
     def forget(self, target: str) -> None:
         """Delete the limit and the queued notice of a removed target."""
         self._limits.forget(target)
-        self._waiting.pop(target, None)
-        self._noticed_at.pop(target, None)
+        self._queued.pop(target, None)
+        self._queued_at.pop(target, None)
 
     async def run(self) -> None:
-        """Send queued notices every `PERIOD_S` until cancelled."""
+        """Send queued notices every `SEND_INTERVAL_S` until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
             now = asyncio.get_running_loop().time()
-            waiting, self._waiting = self._waiting, {}
+            queued, self._queued = self._queued, {}
             notices = [
-                notice._replace(age_s=now - self._noticed_at[name])
-                for name, notice in waiting.items()
+                notice._replace(age_s=now - self._queued_at[name])
+                for name, notice in queued.items()
             ]
             self._sender.send(MessageKind.LIMITS, notices)
 
@@ -98,23 +98,29 @@
             if target is None or notice.started_ms != target.record.started_ms:
                 continue
             if notice.is_valid:
-                said_at = now - notice.age_s
-                self._apply(target, notice.limit_per_s, said_at, now, source=str(sender))
+                stated_at = now - notice.age_s
+                self._apply(target, notice.limit_per_s, stated_at, now, source=str(sender))
 
     def _apply(
-        self, target: Target, limit_per_s: float | None, said_at: float, now: float, *, source: str
+        self,
+        target: Target,
+        limit_per_s: float | None,
+        stated_at: float,
+        now: float,
+        *,
+        source: str,
     ) -> bool:
         """Apply a limit, or None for its end; return whether it changed, and log the change.
 
         Parameters
         ----------
-        said_at : float
+        stated_at : float
             When the target sent the limit, on the loop's clock.
         source : str
             ``answer``, or the address of the entry that sent the notice.
         """
         entries = self._catalog.count_sharers(now)
-        if not self._limits.add(target.name, limit_per_s, said_at, entries=entries):
+        if not self._limits.add(target.name, limit_per_s, stated_at, entries=entries):
             return False
         self._log.event(
             "targets",
@@ -123,6 +129,6 @@
             limit_per_s=limit_per_s,
             entries=entries,
             source=source,
-            age_ms=round((now - said_at) * 1000),
+            age_ms=round((now - stated_at) * 1000),
         )
         return True
--- a/halldoor/gateway/lookup.py
+++ b/halldoor/gateway/lookup.py
@@ -12,14 +12,14 @@
 
 from halldoor.core.targets.changes import MemberRecord
 
-ANSWER_LIMIT = 64
+MAX_ENTRIES = 64
 """Greatest number of entries in one answer."""
-ENOUGH = 2
+ENOUGH_IN_HALL = 2
 """Number of entries in the caller's hall from which no others are returned: one may crash."""
 
 
 def choose_entries(
-    members: Iterable[MemberRecord], *, hall: str, region: str, source: random.Random
+    members: Iterable[MemberRecord], *, hall: str, region: str, generator: random.Random
 ) -> list[MemberRecord]:
     """Choose the entries for a caller: its hall's, else its region's, else all.
 
@@ -33,14 +33,14 @@
     source : random.Random
         Shuffles the answer, so that callers that use the first entry spread out.
     """
-    known = list(members)
-    chosen = [m for m in known if m.hall == hall]
-    if len(chosen) < ENOUGH:
-        chosen = [m for m in known if m.region == region]
+    all_entries = list(members)
+    chosen = [m for m in all_entries if m.hall == hall]
+    if len(chosen) < ENOUGH_IN_HALL:
+        chosen = [m for m in all_entries if m.region == region]
     if not chosen:
-        chosen = known
-    source.shuffle(chosen)
-    return chosen[:ANSWER_LIMIT]
+        chosen = all_entries
+    generator.shuffle(chosen)
+    return chosen[:MAX_ENTRIES]
 
 
 class LookupQuery(NamedTuple):
--- a/halldoor/gateway/pages.py
+++ b/halldoor/gateway/pages.py
@@ -101,7 +101,7 @@
             caller.send(Answer(503, [(b"Retry-After", str(NO_ENTRY_RETRY_S).encode())]))
             return
         chosen = choose_entries(
-            members.values(), hall=query.hall, region=query.region, source=self._random
+            members.values(), hall=query.hall, region=query.region, generator=self._random
         )
         body = self._lookups.render(chosen, ttl_s=state.lookup_ttl_s)
         caller.send(Answer(200, [(b"Content-Type", b"application/json")], body))
--- a/halldoor/gateway/pool.py
+++ b/halldoor/gateway/pool.py
@@ -20,10 +20,10 @@
 """
 IDLE_LIMIT_S = 4.0
 """Greatest idle time of a connection whose target announces none, in seconds."""
-SWEPT_LIMIT_S = 2.5
+MAX_SWEEP_AGE_S = 2.5
 """Time since the last sweep after which all idle connections are closed, in seconds: sweeps run
 every second unless the process was suspended."""
-IDLE_KEPT = 8
+MAX_IDLE_PER_TARGET = 8
 """Greatest number of idle connections per target."""
 
 
@@ -77,7 +77,7 @@
         if not self._allows_reuse(kind):
             return None
         now = asyncio.get_running_loop().time()
-        if now - self._swept_at > SWEPT_LIMIT_S:
+        if now - self._swept_at > MAX_SWEEP_AGE_S:
             # The host was suspended, and the check for suspensions has not run yet.
             self.close()
         idle = self._idle.get(incarnation, [])
@@ -94,18 +94,18 @@
             return self._settings.reuse is not Reuse.NONE
         return kind is not RequestKind.UPLOAD and self._settings.reuse is Reuse.ALL_BUT_UPLOADS
 
-    def note_loss(self, incarnation: str, *, is_silent: bool) -> None:
+    def close_after_loss(self, incarnation: str, *, is_unacknowledged: bool) -> None:
         """Close the target's idle connections after one of them lost its peer.
 
         Parameters
         ----------
-        is_silent : bool
+        is_unacknowledged : bool
             Whether the peer stopped acknowledging bytes; then all other targets' idle connections
             are closed too if `closes_all_on_silence` is set.
         """
-        if is_silent and self._settings.closes_all_on_silence:
+        if is_unacknowledged and self._settings.closes_all_on_silence:
             self.close()
-        self.forget(incarnation)
+        self.close_target(incarnation)
 
     async def open(self, address: Address, *, timeout_s: float) -> HttpConnection:
         """Open a new connection to a target."""
@@ -120,7 +120,7 @@
     def release(self, incarnation: str, connection: HttpConnection) -> None:
         """Return a connection to the pool if it is reusable, else close it."""
         idle = self._idle.setdefault(incarnation, [])
-        if not connection.can_be_reused() or len(idle) >= IDLE_KEPT:
+        if not connection.can_be_reused() or len(idle) >= MAX_IDLE_PER_TARGET:
             connection.close()
             return
         now = asyncio.get_running_loop().time()
@@ -131,7 +131,7 @@
         """Return the number of idle connections to all targets."""
         return sum(len(idle) for idle in self._idle.values())
 
-    def forget(self, incarnation: str) -> None:
+    def close_target(self, incarnation: str) -> None:
         """Close the idle connections to a target."""
         for connection in self._idle.pop(incarnation, []):
             connection.close()
@@ -150,4 +150,4 @@
     def close(self) -> None:
         """Close all idle connections."""
         for name in list(self._idle):
-            self.forget(name)
+            self.close_target(name)
--- a/halldoor/gateway/process.py
+++ b/halldoor/gateway/process.py
@@ -22,7 +22,7 @@
 from halldoor.gateway.eventlog import EventLog
 from halldoor.gateway.exchanges import TargetExchanges
 from halldoor.gateway.feedback import TargetFeedback
-from halldoor.gateway.flows import FlowWatch
+from halldoor.gateway.flows import RegionFlowCounter
 from halldoor.gateway.following import ChangeFollower
 from halldoor.gateway.headers import HeaderNames
 from halldoor.gateway.lookup import LookupFormat
@@ -41,7 +41,7 @@
 from halldoor.gateway.storenotices import StoreNoticeExchange
 from halldoor.gateway.sync import StoreSync
 from halldoor.gateway.tasks import TaskSet, stop_task
-from halldoor.gateway.travel import TravelProbe
+from halldoor.gateway.travel import RoundTripProbe
 
 QUIET_S = 0.3
 """Time without requests or connections after which a stopping process exits, in seconds."""
@@ -115,7 +115,7 @@
         settings = self.settings
         outliers = OutlierTable(settings.outliers)
         loads, latency = LoadTable(), LatencyModel()
-        self.travel = TravelProbe(self.member, self.catalog, latency, log=self.log)
+        self.travel = RoundTripProbe(self.member, self.catalog, latency, log=self.log)
         self.chooser = Chooser(
             self.catalog,
             outliers,
@@ -137,7 +137,7 @@
             names=names,
             log=self.log,
         )
-        flows = FlowWatch(
+        flows = RegionFlowCounter(
             settings.region, self.chooser.orders, self.catalog, log=self.log, metrics=self.metrics
         )
         splitter = Splitter()
@@ -329,9 +329,9 @@
         self.catalog.timings = self.settings.timings
         self.chooser.orders.regions = self.settings.regions
         self.chooser.settings = self.settings.choice
-        self.retries.use(self.settings.retries)
+        self.retries.apply_settings(self.settings.retries)
         self.access.settings = self.settings.access
-        self.quarantine.use(self.settings.quarantine)
+        self.quarantine.apply_settings(self.settings.quarantine)
         self.feed.batch_s = self.settings.batch_s
         self.feed.settings = self.settings.relaying
         at_restart = [n for n in changed if n not in LIVE_SETTINGS]
--- a/halldoor/gateway/quarantine.py
+++ b/halldoor/gateway/quarantine.py
@@ -19,7 +19,7 @@
 from halldoor.core.targets.catalog import Catalog
 from halldoor.core.targets.changes import MemberRecord
 from halldoor.core.targets.target import Target
-from halldoor.gateway.attempt import Ending
+from halldoor.gateway.attempt import RequestResult
 from halldoor.gateway.datagrams import DatagramPort, MessageKind
 from halldoor.gateway.eventlog import EventLog
 from halldoor.gateway.exchange import (
@@ -36,7 +36,7 @@
 
 LEASE_S = 600.0
 """Lifetime of a stored record, in seconds: the longest that the store keeps one without renewal."""
-LEASE_USE_S = 60.0
+LEASE_REUSE_S = 60.0
 """Time for which new records share one lease, in seconds, since creating one costs a call."""
 RETRY_S = 0.5
 """Pause after a failed call to the store, in seconds."""
@@ -78,17 +78,17 @@
         self._log = log
         self._metrics = metrics
         self._core = Quarantine(
-            own.name, settings, self._find_collectors, on_change=self._note_block_change
+            own.name, settings, self._find_collectors, on_change=self._report_block_change
         )
         self._unanswered = UnansweredRequests()
         self._lease = ""
         self._lease_until = 0.0
         self._lease_era = ""
-        self._wake = asyncio.Event()
-        port.receive(MessageKind.EVIDENCE, Evidence, self._take_report)
-        port.receive(MessageKind.EVIDENCE_FOR_ALL, Evidence, self._take_told_to_all)
+        self._due_changed = asyncio.Event()
+        port.receive(MessageKind.EVIDENCE, Evidence, self._receive_collector_evidence)
+        port.receive(MessageKind.EVIDENCE_FOR_ALL, Evidence, self._receive_broadcast_evidence)
 
-    def use(self, settings: QuarantineSettings) -> None:
+    def apply_settings(self, settings: QuarantineSettings) -> None:
         """Apply changed settings and keep the evidence."""
         self._core.settings = settings
 
@@ -96,7 +96,7 @@
         """Return the names of the entries that collect the evidence on a request."""
         return choose_collectors(digest, self._own.hall, self._catalog.members.values())
 
-    async def admit(self, request: Identity) -> Ending | None:
+    async def admit(self, request: Identity) -> RequestResult | None:
         """Return the refusal of a blocked request; None if the request may be sent.
 
         A blocked request gets a trial run from time to time, at the one entry that claims it in
@@ -107,9 +107,9 @@
             return None
         if block.trial is not None and await self._claim_trial(request.digest, block.trial):
             return None
-        self._count("refused")
+        self._count_event("refused")
         # The caller gets the time of the next trial, since retries before it are refused.
-        return Ending(
+        return RequestResult(
             503, f"{block.ends} targets ended under it", retry_after_s=block.retry_after_s
         )
 
@@ -135,7 +135,7 @@
             return False
         self._metrics.add_store_call("claim", "ok" if is_own else "taken")
         if is_own:
-            self._count("trial")
+            self._count_event("trial")
             self._log.event(
                 "quarantine", "Sends a blocked request as a trial.", digest=digest, trial=trial
             )
@@ -145,76 +145,76 @@
         """Record whether one attempt crashed its target, was answered or stayed unanswered."""
         match outcome:
             case WholeAnswer(answer) if answer.status < SERVER_ERROR:
-                self.note_answer(request)
+                self.record_successful_answer(request)
             case AnswerLost(is_closed=True):
-                self.note_end(request, target)
+                self.record_crash(request, target)
             case TimedOut():
-                self.note_unanswered(request, target)
+                self.record_unanswered(request, target)
             case ConnectFailed(is_refused=True):
                 # A full target leaves connections hanging or resets them; only a dead one refuses.
-                self.note_gone(target.name)
+                self.record_target_gone(target.name)
             case _:
                 return
 
-    def note_answer(self, request: Identity) -> None:
+    def record_successful_answer(self, request: Identity) -> None:
         """Record that a target answered a request successfully."""
         # Most answers change nothing and must not cost a scan of all suspected requests.
         if self._core.record_answer(request.digest, _now()):
-            self._plan()
+            self._send_due_messages()
 
-    def note_end(self, request: Identity, target: Target) -> None:
+    def record_crash(self, request: Identity, target: Target) -> None:
         """Record that a target crashed while it ran a request."""
-        if not self._core.record_crash(request, _name_start(target), _now()):
+        if not self._core.record_crash(request, _build_start_id(target), _now()):
             return
-        self._count("target ended")
+        self._count_event("target ended")
         self._log.event(
             "quarantine",
             "A target crashed while running a request.",
             target=target.name,
             **request._asdict(),
         )
-        self._plan()
+        self._send_due_messages()
 
-    def note_unanswered(self, request: Identity, target: Target) -> None:
+    def record_unanswered(self, request: Identity, target: Target) -> None:
         """Record that the caller disconnected or time ran out while a target had the request."""
         self._unanswered.add(request, target, _now())
 
-    def note_gone(self, incarnation: str) -> None:
+    def record_target_gone(self, incarnation: str) -> None:
         """Record that a target is gone: its unanswered requests may have crashed it."""
         for request, target, _ in self._unanswered.pop_crashed(incarnation, _now()):
-            self.note_end(request, target)
+            self.record_crash(request, target)
 
-    def _take_report(self, evidence: Evidence, sender: Address) -> None:
+    def _receive_collector_evidence(self, evidence: Evidence, sender: Address) -> None:
         """Apply evidence that an entry sent to this entry as a collector."""
         self._core.merge_evidence(evidence, _now())
-        self._plan()
+        self._send_due_messages()
 
-    def _take_told_to_all(self, evidence: Evidence, sender: Address) -> None:
+    def _receive_broadcast_evidence(self, evidence: Evidence, sender: Address) -> None:
         """Apply evidence that a collector broadcast to all entries."""
         self._core.merge_evidence(evidence, _now(), is_broadcast=True)
-        self._plan()
+        self._send_due_messages()
 
-    def take_record(self, record: EvidenceRecord) -> None:
+    def apply_stored_record(self, record: EvidenceRecord) -> None:
         """Apply evidence read from the store."""
         self._core.merge_record(from_record(record, _read_clock_ms()), _now())
-        self._plan()
+        self._send_due_messages()
 
-    def lose_record(self, digest: str) -> None:
+    def remove_stored_record(self, digest: str) -> None:
         """Record that the store no longer holds the evidence on a request."""
         self._core.handle_removed_record(digest, _now())
-        self._plan()
+        self._send_due_messages()
 
-    def note_members(self) -> None:
+    def update_collectors(self) -> None:
         """Recompute the collectors of each request after the set of entries changed."""
         self._core.notify_new_collectors(_now())
-        self._plan()
+        self._send_due_messages()
 
-    def _plan(self) -> None:
+    def _send_due_messages(self) -> None:
         """Send the messages that are due now, and wake the task for later ones."""
         for message in self._core.pop_messages(_now()):
             self._send(message)
         if self._core.find_due() is not None:
-            self._wake.set()
+            self._due_changed.set()
 
     async def run(self) -> None:
         """Repeat messages and store evidence when they are due, until cancelled."""
@@ -223,18 +223,18 @@
             if due_at is None or due_at > _now():
                 await self._wait_until(due_at)
                 continue
-            self._plan()
+            self._send_due_messages()
             evidence = self._core.pop_due_record(_now())
             if evidence is not None:
-                await self._record(evidence)
+                await self._store_evidence(evidence)
                 await asyncio.sleep(RECORD_PAUSE_S)
 
     async def _wait_until(self, due_at: float | None) -> None:
         """Wait until the due time, or until `_send_due_messages` may have set an earlier one."""
-        self._wake.clear()
+        self._due_changed.clear()
         try:
             async with asyncio.timeout_at(due_at):
-                await self._wake.wait()
+                await self._due_changed.wait()
         except TimeoutError:
             return  # The due time has come.
 
@@ -251,7 +251,7 @@
             others = [members[name] for name in message.to if name in members]
         self._port.send(kind, message.evidence, *(member.relay for member in others))
 
-    async def _record(self, evidence: Evidence) -> None:
+    async def _store_evidence(self, evidence: Evidence) -> None:
         """Write evidence to the store, for entries that start later; retry later on failure."""
         item = encode_evidence(to_record(evidence, _read_clock_ms()))
         try:
@@ -274,11 +274,11 @@
 
     async def _get_lease(self) -> str:
         """Return a lease for records; create a new one every `LEASE_REUSE_S` at most."""
-        is_of_old = self._lease_era != self._store.era
-        if not self._lease or is_of_old or _now() >= self._lease_until:
+        is_other_era = self._lease_era != self._store.era
+        if not self._lease or is_other_era or _now() >= self._lease_until:
             lease = await self._store.create_lease(LEASE_S)
             self._metrics.add_store_call("lease", "created")
-            self._lease, self._lease_until = lease.name, _now() + LEASE_USE_S
+            self._lease, self._lease_until = lease.name, _now() + LEASE_REUSE_S
             self._lease_era = self._store.era
         return self._lease
 
@@ -287,13 +287,13 @@
         self._core.remove_expired(_now())
         return {"suspects": self._core.count_suspects(), "blocked": self._core.count_blocked()}
 
-    def _count(self, what: str) -> None:
+    def _count_event(self, what: str) -> None:
         """Count a quarantine event in the metrics."""
         self._metrics.add_quarantine(what)
 
-    def _note_block_change(self, change: BlockChange) -> None:
+    def _report_block_change(self, change: BlockChange) -> None:
         """Log and count that a request was blocked or unblocked."""
-        self._count("blocked" if change.is_blocked else "lifted")
+        self._count_event("blocked" if change.is_blocked else "lifted")
         evidence = change.evidence
         self._log.event(
             "quarantine",
@@ -306,7 +306,7 @@
         )
 
 
-def _name_start(target: Target) -> str:
+def _build_start_id(target: Target) -> str:
     """Return an id of one start of a target, since a target may restart under the same name."""
     return f"{target.name}/{target.record.started_ms}"
 
--- a/halldoor/gateway/quotas.py
+++ b/halldoor/gateway/quotas.py
@@ -63,12 +63,12 @@
         while True:
             entries = self._catalog.count_members()
             await asyncio.sleep(find_period(entries))
-            self._follow_routing()
+            self._update_limits()
             if self._gate.has_limits:
                 self._choose_collectors()
                 self._send_report()
 
-    def _follow_routing(self) -> None:
+    def _update_limits(self) -> None:
         """Apply the limits of the current configuration to the ledger."""
         table = self._access.find_table()
         if table is not self._table and table is not None:
@@ -81,8 +81,8 @@
         if self._members_version == self._catalog.members_version:
             return
         self._members_version = self._catalog.members_version
-        known = {m.name: m for m in self._catalog.members.values() if m.relay is not None}
-        chosen = [known[name] for name in rank("quotas", known)[:COLLECTORS]]
+        candidates = {m.name: m for m in self._catalog.members.values() if m.relay is not None}
+        chosen = [candidates[name] for name in rank("quotas", candidates)[:COLLECTORS]]
         if chosen != self._collectors:
             self._collectors = chosen
             self._log.event("quotas", "Reports.", collectors=[m.name for m in chosen])
@@ -94,7 +94,7 @@
             if collector.name == self._own.name:
                 answer = self._collect(report)
                 if answer is not None:
-                    self._take_answer(answer, place=self._collectors.index(collector))
+                    self._apply_shares(answer, collector_rank=self._collectors.index(collector))
             else:
                 self._port.send(MessageKind.QUOTA_REPORT, report, collector.relay)
 
@@ -111,26 +111,30 @@
 
     def _receive_report(self, report: Report, sender: Address) -> None:
         """Collect another entry's report and send the shares back."""
-        self._follow_routing()
+        self._update_limits()
         answer = self._collect(report)
         if answer is not None:
             self._port.send(MessageKind.QUOTA_SHARES, answer, sender)
 
     def _receive_shares(self, answer: Shares, sender: Address) -> None:
         """Apply the shares sent by a collector."""
-        self._take_answer(answer, place=self._find_place(sender))
+        self._apply_shares(answer, collector_rank=self._find_collector_rank(sender))
 
-    def _find_place(self, address: Address) -> int:
+    def _find_collector_rank(self, address: Address) -> int:
         """Return a collector's rank from 0; the number of collectors if it is not one."""
         addresses = [m.relay for m in self._collectors]
         return addresses.index(address) if address in addresses else len(addresses)
 
-    def _take_answer(self, answer: Shares, *, place: int) -> None:
+    def _apply_shares(self, answer: Shares, *, collector_rank: int) -> None:
         """Apply shares of the first collector; those of others only while the first is silent."""
         now = asyncio.get_running_loop().time()
         handover_s = HANDOVER_PERIODS * find_period(self._catalog.count_members())
-        is_first = place == 0
+        is_first = collector_rank == 0
         if not is_first and now - self._first_answer_at <= handover_s:
             return
-        if place < len(self._collectors) and self._gate.apply_answer(answer, now) and is_first:
+        if (
+            collector_rank < len(self._collectors)
+            and self._gate.apply_answer(answer, now)
+            and is_first
+        ):
             self._first_answer_at = now
--- a/halldoor/gateway/request.py
+++ b/halldoor/gateway/request.py
@@ -20,30 +20,30 @@
 from halldoor.gateway.access import CallerAccess
 from halldoor.gateway.attempt import (
     Attempt,
-    Ending,
+    RequestResult,
     RequestState,
     TargetView,
-    build_own_answer,
-    read_ms,
-    spread,
-    spread_later,
+    build_gateway_answer,
+    parse_deadline_s,
+    randomize_requested_rest,
+    randomize_retry_after,
 )
 from halldoor.gateway.body import read_request
 from halldoor.gateway.caller import Answer, CallerConnection, Head
 from halldoor.gateway.connection import ConnectionBrokenError, PeerClosedError
 from halldoor.gateway.eventlog import EventLog
 from halldoor.gateway.exchange import (
-    Exchanger,
     NotSent,
     Outcome,
     OutgoingRequest,
     PartialAnswer,
+    TargetExchanger,
     TimedOut,
     WholeAnswer,
     get_answer_head,
 )
-from halldoor.gateway.feedback import GATEWAY_TIMEOUT, SERVER_ERROR, Sending, TargetFeedback
-from halldoor.gateway.flows import FlowWatch
+from halldoor.gateway.feedback import GATEWAY_TIMEOUT, SERVER_ERROR, SentAttempt, TargetFeedback
+from halldoor.gateway.flows import RegionFlowCounter
 from halldoor.gateway.headers import HeaderNames, drop_hop_by_hop, find
 from halldoor.gateway.metrics import GatewayMetrics
 from halldoor.gateway.pool import TargetPool
@@ -91,7 +91,7 @@
         retries: RetryGate,
         access: CallerAccess,
         splitter: Splitter,
-        flows: FlowWatch,
+        flows: RegionFlowCounter,
         quarantine: RequestQuarantine,
     ) -> None:
         self._catalog = catalog
@@ -101,7 +101,7 @@
         self._feedback = feedback
         self._pool = pool
         self._names = names
-        self._exchanger = Exchanger(pool, names, can_send=catalog.can_send)
+        self._exchanger = TargetExchanger(pool, names, can_send=catalog.can_send)
         self._log = log
         self._metrics = metrics
         self._retries = retries
@@ -125,7 +125,7 @@
         """Process one request; answer 502 if the gateway itself fails."""
         self.running += 1
         try:
-            await self._route(caller, head)
+            await self._admit_and_send(caller, head)
         except h11.RemoteProtocolError:
             raise  # The caller violated HTTP; its connection sends the error.
         except Exception as exc:
@@ -136,69 +136,69 @@
             if caller.has_answered:
                 caller.abort()
             else:
-                caller.send(build_own_answer(502, "failed inside"))
+                caller.send(build_gateway_answer(502, "failed inside"))
         finally:
             self.running -= 1
 
-    async def _route(self, caller: CallerConnection, head: Head) -> None:
+    async def _admit_and_send(self, caller: CallerConnection, head: Head) -> None:
         """Admit a request, choose its service and deadline, send it and finish it."""
         attempt_id = find(head.headers, self._names.attempt_id).decode("latin-1")
-        entrance = self._access.enter(head, head.received_at)
+        entrance = self._access.admit(head, head.received_at)
         if isinstance(entrance, Refusal):
-            self._refuse_early(caller, attempt_id, entrance)
+            self._refuse_unadmitted(caller, attempt_id, entrance)
             return
         route = entrance.route
         key = find(head.headers, self._names.affinity_key).decode("latin-1")
         service = self._splitter.choose(route, key or attempt_id)
         state = RequestState(head, entrance, service, key if route.has_affinity else "", attempt_id)
-        caller_s = read_ms(find(head.headers, self._names.deadline_ms))
+        caller_s = parse_deadline_s(find(head.headers, self._names.deadline_ms))
         expires_at = head.received_at + min(caller_s, route.timeout_s)
         headers = self._exchanger.build_headers(
             head, team=state.team, has_teams=self._access.has_teams
         )
         outgoing = await read_request(caller, state, headers, expires_at)
-        if isinstance(outgoing, Ending):
+        if isinstance(outgoing, RequestResult):
             self._finish(caller, state, outgoing)
             return
-        ending = await self._quarantine.admit(state.identity)
-        if ending is None:
-            ending = await self._carry(caller, state, outgoing)
-        if caller.is_body_too_long and not ending.target:
-            ending = Ending(413, "body too long")
-        self._finish(caller, state, ending)
+        result = await self._quarantine.admit(state.identity)
+        if result is None:
+            result = await self._send_until_answered(caller, state, outgoing)
+        if caller.is_body_too_long and not result.target:
+            result = RequestResult(413, "body too long")
+        self._finish(caller, state, result)
 
-    async def _carry(
+    async def _send_until_answered(
         self, caller: CallerConnection, state: RequestState, outgoing: OutgoingRequest
-    ) -> Ending:
+    ) -> RequestResult:
         """Send the request to targets in turn until one answers or a retry is forbidden."""
         loop = asyncio.get_running_loop()
         self._retries.add_request(state.service, loop.time())
         while True:
             now = loop.time()
             if now >= outgoing.expires_at:
-                return state.build_give_up("time ran out", is_late=True)
+                return state.build_unanswered_result("time ran out", is_late=True)
             choice = self._chooser.choose(
-                state.route, state.service, state.key, now, tried=state.tried
+                state.route, state.service, state.key, now, tried=state.tried_targets
             )
             if isinstance(choice, NoTarget):
-                return state.build_give_up(
-                    str(choice), room_after_s=choice.room_after_s, is_asked=choice.is_asked
+                return state.build_unanswered_result(
+                    str(choice), slot_free_after_s=choice.room_after_s, is_asked=choice.is_asked
                 )
             target = choice.target
             with self._chooser.count_in_flight(target.name):
                 outcome = await self._attempt(state, outgoing, choice)
                 if isinstance(outcome, PartialAnswer):
-                    return await self._stream(caller, state, outgoing, outcome, target)
+                    return await self._stream_answer(caller, state, outgoing, outcome, target)
             if isinstance(outcome, WholeAnswer) and not _is_worth_retry(state, outcome):
-                return self._deliver(caller, state, outcome.answer, target)
+                return self._forward_answer(caller, state, outcome.answer, target)
             if isinstance(outcome, TimedOut | NotSent):
-                return state.build_give_up("no answer in time", is_late=True)
+                return state.build_unanswered_result("no answer in time", is_late=True)
             obstacle = self._find_obstacle(state, outgoing)
             if obstacle is not None:
                 if isinstance(outcome, WholeAnswer):
-                    return self._deliver(caller, state, outcome.answer, target)
+                    return self._forward_answer(caller, state, outcome.answer, target)
                 rest_s = self._chooser.find_backoff(self._catalog.list_usable(state.service), now)
-                return state.build_last_failure(obstacle, rest_s=rest_s)
+                return state.build_failed_result(obstacle, rest_s=rest_s)
 
     def _find_obstacle(
         self, state: RequestState, outgoing: OutgoingRequest
@@ -220,12 +220,12 @@
         loop = asyncio.get_running_loop()
         target, name = choice.target, choice.target.name
         started = loop.time()
-        view = self._view(choice, state.key, started)
+        view = self._build_target_view(choice, state.key, started)
         self._flows.add(state.route, choice, started, is_retry=bool(state.attempts))
         try:
             outcome, connecting = await self._exchanger.send(outgoing, name, target.record.address)
         except asyncio.CancelledError:
-            self._quarantine.note_unanswered(state.identity, target)
+            self._quarantine.record_unanswered(state.identity, target)
             self._log.event(
                 "request", "Caller left.", id=state.attempt_id, target=name, sent=state.sent_count
             )
@@ -234,10 +234,8 @@
         now = loop.time()
         took_s = now - started
         statement = self._feedback.read_statement(target, *get_answer_head(outcome), now)
-        sending = Sending(choice, name_kind(state.service, state.route), state.key)
-        result, detail = self._feedback.add_outcome(
-            sending, outcome, connecting, now, took_s=took_s
-        )
+        sent = SentAttempt(choice, name_kind(state.service, state.route), state.key)
+        result, detail = self._feedback.add_outcome(sent, outcome, connecting, now, took_s=took_s)
         state.attempts.append(
             Attempt(
                 name,
@@ -261,7 +259,7 @@
         )
         return outcome
 
-    def _view(self, choice: Choice, key: str, now: float) -> TargetView:
+    def _build_target_view(self, choice: Choice, key: str, now: float) -> TargetView:
         """Return this entry's current data on a target, for the log."""
         target = choice.target
         age_s = self._loads.get_report_age(target.name, now)
@@ -283,26 +281,26 @@
             expected_wait_ms=round(choice.estimate.wait_s * 1000),
         )
 
-    def _deliver(
+    def _forward_answer(
         self, caller: CallerConnection, state: RequestState, answer: Answer, target: Target
-    ) -> Ending:
+    ) -> RequestResult:
         """Forward a target's complete answer to the caller."""
         headers = drop_hop_by_hop(answer.headers)
         if state.head.method == b"HEAD":
             caller.send_head(answer.status, headers, answer.reason)
-            caller.end()
+            caller.finish_answer()
         else:
             caller.send(answer._replace(headers=headers))
-        return Ending(answer.status, "answered", target.name)
+        return RequestResult(answer.status, "answered", target.name)
 
-    async def _stream(
+    async def _stream_answer(
         self,
         caller: CallerConnection,
         state: RequestState,
         outgoing: OutgoingRequest,
         partial: PartialAnswer,
         target: Target,
-    ) -> Ending:
+    ) -> RequestResult:
         """Forward a long answer piece by piece; abort it if the target fails or time runs out."""
         answer, connection = partial
         headers = drop_hop_by_hop(answer.headers)
@@ -314,42 +312,42 @@
                 await caller.send_data(answer.body)
                 while not isinstance(event := await connection.receive(), h11.EndOfMessage):
                     await caller.send_data(bytes(event.data))
-                caller.end()
+                caller.finish_answer()
         except (ConnectionBrokenError, TimeoutError) as exc:
             reason = str(exc) or "time ran out"
             self._feedback.add_failure(target.name, asyncio.get_running_loop().time(), reason)
             if isinstance(exc, PeerClosedError):
-                self._quarantine.note_end(state.identity, target)
+                self._quarantine.record_crash(state.identity, target)
             caller.abort()
-            return Ending(answer.status, f"broke off: {reason}", target.name)
+            return RequestResult(answer.status, f"broke off: {reason}", target.name)
         finally:
             # Closes the connection if the exchange did not complete.
             self._pool.release(target.name, connection)
-        self._quarantine.note_answer(state.identity)
-        return Ending(answer.status, "answered in pieces", target.name)
+        self._quarantine.record_successful_answer(state.identity)
+        return RequestResult(answer.status, "answered in pieces", target.name)
 
-    def _finish(self, caller: CallerConnection, state: RequestState, ending: Ending) -> None:
+    def _finish(self, caller: CallerConnection, state: RequestState, result: RequestResult) -> None:
         """Send the gateway's own answer unless a target's was forwarded; log and count."""
-        if not ending.target:
-            spread_time = spread_later if ending.is_asked else spread
-            after_s = spread_time(ending.retry_after_s, self._random)
-            caller.send(build_own_answer(ending.status, ending.outcome, retry_after_s=after_s))
+        if not result.target:
+            randomize = randomize_requested_rest if result.is_asked else randomize_retry_after
+            after_s = randomize(result.retry_after_s, self._random)
+            caller.send(build_gateway_answer(result.status, result.outcome, retry_after_s=after_s))
         if not state.may_have_run:
             self._access.gate.uncount(state.team)
         now = asyncio.get_running_loop().time()
         took_s = now - state.head.received_at
-        self._metrics.add_request(state.service, str(ending.status), took_s)
+        self._metrics.add_request(state.service, str(result.status), took_s)
         self._log.request(
             state.attempt_id,
-            ending.status,
-            ending.outcome,
+            result.status,
+            result.outcome,
             route=state.route.name,
             service=state.service,
             team=state.team,
             key=state.key,
             digest=state.identity.digest,
             caller=state.identity.caller,
-            target=ending.target,
+            target=result.target,
             took_ms=round(took_s * 1000),
             aim_ms=round(state.route.aim_s * 1000),
             attempts=[attempt.to_fields() for attempt in state.attempts],
@@ -357,7 +355,9 @@
             store_age_ms=self._get_store_age_ms(),
         )
 
-    def _refuse_early(self, caller: CallerConnection, attempt_id: str, refusal: Refusal) -> None:
+    def _refuse_unadmitted(
+        self, caller: CallerConnection, attempt_id: str, refusal: Refusal
+    ) -> None:
         """Answer, log and count a request that was not admitted."""
         caller.send(self._access.build_answer(refusal))
         self._metrics.add_request("", str(refusal.status), 0.0)
--- a/halldoor/gateway/rests.py
+++ b/halldoor/gateway/rests.py
@@ -10,7 +10,7 @@
 from halldoor.gateway.eventlog import EventLog
 from halldoor.gateway.metrics import GatewayMetrics
 
-REJECTIONS = (429, 503)
+REJECTION_STATUSES = (429, 503)
 """Statuses with which a target may request a rest."""
 SERVER_ERROR = 500
 """Lowest status that counts as a failure of the target."""
@@ -32,7 +32,7 @@
 
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
         """Start a rest if the answer requests one; record a successful answer otherwise."""
-        if statement.status not in REJECTIONS:
+        if statement.status not in REJECTION_STATUSES:
             if statement.status < SERVER_ERROR:
                 self._rests.add_success(target.start, now)
             return
@@ -41,16 +41,16 @@
         try:
             rest_s = parse_backoff(statement.retry_after, time.time())
         except (ValueError, OverflowError) as exc:
-            self._add_bad(target, str(exc))
+            self._report_bad_rest(target, str(exc))
             return
         if rest_s > BACKOFF_MAX_S:
-            self._add_bad(target, f"{rest_s:.0f} s of rest, {BACKOFF_MAX_S:.0f} at most")
+            self._report_bad_rest(target, f"{rest_s:.0f} s of rest, {BACKOFF_MAX_S:.0f} at most")
         if rest_s > 0 and self._rests.add(target.start, rest_s, now):
             self._log.event(
                 "targets", "A target requested a rest.", target=target.name, rest_s=rest_s
             )
 
-    def _add_bad(self, target: Target, cause: str) -> None:
+    def _report_bad_rest(self, target: Target, cause: str) -> None:
         """Log and count a requested rest that is unreadable or too long."""
         self._metrics.add_bad_statement("retry_after")
         self._log.event("targets", "Bad statement.", target=target.name, cause=cause)
--- a/halldoor/gateway/retries.py
+++ b/halldoor/gateway/retries.py
@@ -8,13 +8,13 @@
 from halldoor.core.targets.route import RequestKind
 from halldoor.gateway.attempt import RequestState
 
-UNREACHED_MOST_S = 0.8
+MAX_CONNECT_FAILURES_S = 0.8
 """Total time of failed connection attempts after which a request is refused, in seconds.
 
 Crashed targets refuse within a millisecond, and the next one may run; if three connections hang,
 the network to the others is mostly broken too, and the caller needs time to try another entry.
 """
-UNREACHED_LIMIT = 16
+MAX_CONNECT_FAILURES = 16
 """Failed connections after which a request is refused, so that its log line stays bounded."""
 
 
@@ -34,7 +34,7 @@
         self._settings = settings
         self._shares: dict[str, RetryShare] = {}
 
-    def use(self, settings: RetrySettings) -> None:
+    def apply_settings(self, settings: RetrySettings) -> None:
         """Apply changed budget settings and keep the counts."""
         self._settings = settings
         for share in self._shares.values():
@@ -42,7 +42,7 @@
 
     def add_request(self, service: str, now: float) -> None:
         """Count a caller's request; the retry budget is a fraction of this count."""
-        self._find_share(service).add_request(now)
+        self._get_share(service).add_request(now)
 
     def find_obstacle(
         self, state: RequestState, now: float, *, can_resend: bool, expires_at: float
@@ -68,17 +68,17 @@
         )
         if obstacle is not None:
             return obstacle
-        if _has_tried_enough(state):
+        if _has_failed_to_connect_enough(state):
             return RetryObstacle.NO_ATTEMPT_LEFT
         # An attempt that reached no target causes no load, so its retry is free.
         if not state.attempts[-1].result.was_sent:
             return None
         entries = self._catalog.count_sharers(now)
-        if self._find_share(state.service).take_retry(now, entries=entries):
+        if self._get_share(state.service).take_retry(now, entries=entries):
             return None
         return RetryObstacle.BUDGET
 
-    def _find_share(self, service: str) -> RetryShare:
+    def _get_share(self, service: str) -> RetryShare:
         """Return this entry's share of a service's retry budget, creating it if needed."""
         share = self._shares.get(service)
         if share is None:
@@ -86,8 +86,8 @@
         return share
 
 
-def _has_tried_enough(state: RequestState) -> bool:
+def _has_failed_to_connect_enough(state: RequestState) -> bool:
     """Check whether failed connections reached their limit in number or in total time."""
     unreached = [attempt for attempt in state.attempts if not attempt.result.was_sent]
     wasted_s = sum(attempt.took_ms for attempt in unreached) / 1000
-    return wasted_s >= UNREACHED_MOST_S or len(unreached) >= UNREACHED_LIMIT
+    return wasted_s >= MAX_CONNECT_FAILURES_S or len(unreached) >= MAX_CONNECT_FAILURES
--- a/halldoor/gateway/travel.py
+++ b/halldoor/gateway/travel.py
@@ -11,17 +11,17 @@
 from halldoor.gateway.connection import ConnectionFailedError, HttpConnection
 from halldoor.gateway.eventlog import EventLog
 
-PROBES = 3
+PROBES_PER_REGION = 3
 """Connections per region; the shortest time counts, since load at startup lengthens others."""
-PAUSE_S = 0.3
+PROBE_INTERVAL_S = 0.3
 """Pause between rounds of probes, in seconds: three rounds finish before callers arrive."""
-CHECK_S = 5.0
+RECHECK_INTERVAL_S = 5.0
 """Interval of checks for new regions once all are measured, in seconds."""
 CONNECT_S = 1.0
 """Connect timeout, in seconds; one lost packet costs about one second."""
 
 
-class TravelProbe:
+class RoundTripProbe:
     """Task that times a few connections to entries of other regions.
 
     Parameters
@@ -46,16 +46,22 @@
     async def run(self) -> None:
         """Probe unmeasured regions until cancelled."""
         while True:
-            missing = self._list_missing()
+            missing = self._choose_unmeasured()
             await asyncio.gather(*(self._probe(member) for member in missing))
-            await asyncio.sleep(PAUSE_S if missing else CHECK_S if self._counts else PAUSE_S)
+            await asyncio.sleep(
+                PROBE_INTERVAL_S
+                if missing
+                else RECHECK_INTERVAL_S
+                if self._counts
+                else PROBE_INTERVAL_S
+            )
 
-    def _list_missing(self) -> list[MemberRecord]:
+    def _choose_unmeasured(self) -> list[MemberRecord]:
         """Return a random entry of each other region that needs more probes."""
         by_region: dict[str, list[MemberRecord]] = {}
         for member in self._catalog.members.values():
             is_wanted = member.region != self._own.region and member.relay is not None
-            if is_wanted and self._counts.get(member.region, 0) < PROBES:
+            if is_wanted and self._counts.get(member.region, 0) < PROBES_PER_REGION:
                 by_region.setdefault(member.region, []).append(member)
         return [random.choice(members) for members in by_region.values()]
 
@@ -77,7 +83,7 @@
         connection.close()
         self._latency.add_connect(member.hall, took_s)
         count = self._counts[member.region] = self._counts.get(member.region, 0) + 1
-        if count == PROBES:
+        if count == PROBES_PER_REGION:
             self._log.event(
                 "travel",
                 "Measured.",
--- a/halldoor/tests/crashkit.py
+++ b/halldoor/tests/crashkit.py
@@ -18,7 +18,7 @@
 POPULAR = b"/popular"
 WORK_S = 0.075
 """Time for which a request runs before it is answered or crashes its target, in seconds."""
-AWAY_S = (1.5, 3.0)
+RESTART_AFTER_S = (1.5, 3.0)
 """Shortest and longest time until a crashed target restarts under a new name, in seconds."""
 
 
@@ -40,7 +40,7 @@
         finally:
             self.running.remove(request.target)
         if request.target == BAD:
-            self.fleet.end(self)
+            self.fleet.crash(self)
         if self.incarnation in self.fleet.targets:
             await self.answer(request, writer)
 
@@ -52,7 +52,7 @@
     ----------
     sent : dict of bytes to list of float
         Times at which targets received each path, on the loop's clock.
-    ended_at : list of float
+    crashed_at : list of float
         Times at which targets crashed, on the loop's clock.
     statuses : dict of bytes to list of int
         Statuses that callers received, by path.
@@ -67,7 +67,7 @@
         self.targets = {}
         self.kits = []
         self.sent = defaultdict(list)
-        self.ended_at = []
+        self.crashed_at = []
         self.statuses = defaultdict(list)
         self._stack = contextlib.AsyncExitStack()
         self._tasks = set()
@@ -134,21 +134,21 @@
         kit.targets = self.targets
         kit.write_target(target.incarnation)
 
-    def end(self, target):
+    def crash(self, target):
         """Crash a target together with all requests that it runs, and restart it later."""
         if self.targets.pop(target.incarnation, None) is None:
             return
-        self.ended_at.append(self.now())
-        self.spawn(self._replace(target))
+        self.crashed_at.append(self.now())
+        self.spawn(self._restart(target))
 
-    async def _replace(self, target):
+    async def _restart(self, target):
         """Stop a crashed target, and start a new one after a random time."""
         await target.stop()
-        await asyncio.sleep(self.random.uniform(*AWAY_S))
+        await asyncio.sleep(self.random.uniform(*RESTART_AFTER_S))
         self.store.remove(f"targets/{target.incarnation}")
         await self.start_target()
 
-    async def end_targets_under(self, path, *, every_s, for_s):
+    async def crash_targets_running(self, path, *, every_s, for_s):
         """Repeatedly crash a target that is running a request for a path."""
         ends = self.now() + for_s
         while self.now() < ends:
@@ -158,9 +158,9 @@
                 await asyncio.sleep(0.005)
                 running = [t for t in self.targets.values() if path in t.running]
             if running:
-                self.end(self.random.choice(running))
+                self.crash(self.random.choice(running))
 
-    async def call(self, path, key=""):
+    async def send_request(self, path, key=""):
         """Send one request to a random entry from a random address, and record its status."""
         kit = self.random.choice(self.kits)
         source = f"127.0.0.{self.random.randrange(2, 2 + self.addresses)}"
@@ -176,23 +176,23 @@
             )
             self.statuses[path].append(reply.status)
 
-    async def ask(self, path, *, per_s, for_s, key=""):
+    async def send_requests(self, path, *, per_s, for_s, key=""):
         """Send requests at a mean rate for a path, or for 40 other paths if it is empty."""
         ends = self.now() + for_s
         while self.now() < ends:
             if path:
-                self.spawn(self.call(path, key))
+                self.spawn(self.send_request(path, key))
             else:
                 other = f"/{self.random.randrange(40)}"
-                self.spawn(self.call(other.encode(), other))
+                self.spawn(self.send_request(other.encode(), other))
             await asyncio.sleep(self.random.expovariate(per_s))
 
-    def count_sound(self):
+    def compute_served_share(self):
         """Return the fraction of requests other than `BAD` that were answered with 200."""
         statuses = [s for path, all_ in self.statuses.items() if path != BAD for s in all_]
         return statuses.count(200) / len(statuses)
 
     def count_late_sends(self, path, *, after_s):
         """Count how often a path was sent later than `after_s` after the third crash."""
-        third_at = sorted(self.ended_at)[2]
+        third_at = sorted(self.crashed_at)[2]
         return sum(at > third_at + after_s for at in self.sent[path])
--- a/halldoor/tests/gatewaykit.py
+++ b/halldoor/tests/gatewaykit.py
@@ -32,7 +32,7 @@
 }
 
 
-def by_kind(kind):
+def build_route_changes(kind):
     """Return the route fields to override for a kind of request."""
     return {"kind": kind}
 
--- a/halldoor/tests/test_crashing_request.py
+++ b/halldoor/tests/test_crashing_request.py
@@ -29,20 +29,21 @@
 
 class TestCrashingRequest:
     @pytest.mark.parametrize("kind", KINDS)
-    def test_it_is_sent_three_times_at_most_once_three_targets_have_ended(self, kind):
+    def test_request_that_crashed_three_targets_is_sent_at_most_three_more_times(self, kind):
         async def check():
             async with CrashFleet.open(kind=kind) as fleet:
                 await asyncio.gather(
-                    fleet.ask(BAD, per_s=8.0, for_s=8.0), fleet.ask(b"", per_s=60.0, for_s=8.0)
+                    fleet.send_requests(BAD, per_s=8.0, for_s=8.0),
+                    fleet.send_requests(b"", per_s=60.0, for_s=8.0),
                 )
-                assert len(fleet.ended_at) >= 3
+                assert len(fleet.crashed_at) >= 3
                 assert fleet.count_late_sends(BAD, after_s=CONTACT_S) <= LATE_SENDS
                 # Three of twelve targets are down for up to 3 s, and their running requests fail.
-                assert fleet.count_sound() >= 0.9
+                assert fleet.compute_served_share() >= 0.9
 
         asyncio.run(check())
 
-    def test_so_it_is_where_its_caller_has_many_addresses(self):
+    def test_crashing_request_from_many_addresses_is_blocked(self):
         """Without teams only the address distinguishes callers.
 
         The same request arrived from many addresses and counted as a different one for each:
@@ -51,38 +52,38 @@
 
         async def check():
             async with CrashFleet.open(kind="repeatable", addresses=40) as fleet:
-                await fleet.ask(BAD, per_s=8.0, for_s=8.0)
+                await fleet.send_requests(BAD, per_s=8.0, for_s=8.0)
                 assert fleet.count_late_sends(BAD, after_s=CONTACT_S) <= LATE_SENDS
 
         asyncio.run(check())
 
-    def test_entries_that_all_start_again_still_know(self):
+    def test_crashing_request_stays_blocked_after_restart_of_all_entries(self):
         async def check():
             async with CrashFleet.open(kind="repeatable") as fleet:
-                await fleet.ask(BAD, per_s=8.0, for_s=2.5)
+                await fleet.send_requests(BAD, per_s=8.0, for_s=2.5)
                 await fleet.restart_entries()
-                await fleet.ask(BAD, per_s=8.0, for_s=4.0)
+                await fleet.send_requests(BAD, per_s=8.0, for_s=4.0)
                 assert fleet.count_late_sends(BAD, after_s=CONTACT_S) <= LATE_SENDS
 
         asyncio.run(check())
 
 
-class TestSoundRequest:
+class TestHarmlessRequest:
     """Targets crash for other reasons, each while running a frequent and harmless request."""
 
     @pytest.mark.parametrize("key", ["", "/popular"])
-    def test_it_stays_served(self, key):
+    def test_request_is_served_while_targets_crash_for_other_reasons(self, key):
         async def check():
             async with CrashFleet.open(kind="repeatable") as fleet:
                 await asyncio.gather(
-                    fleet.ask(POPULAR, per_s=8.0, for_s=8.0, key=key),
-                    fleet.ask(b"", per_s=60.0, for_s=8.0),
-                    fleet.end_targets_under(POPULAR, every_s=0.8, for_s=8.0),
+                    fleet.send_requests(POPULAR, per_s=8.0, for_s=8.0, key=key),
+                    fleet.send_requests(b"", per_s=60.0, for_s=8.0),
+                    fleet.crash_targets_running(POPULAR, every_s=0.8, for_s=8.0),
                 )
-                assert len(fleet.ended_at) >= 6
+                assert len(fleet.crashed_at) >= 6
                 statuses = fleet.statuses[POPULAR]
                 assert statuses.count(200) >= 0.9 * len(statuses)
-                assert fleet.count_sound() >= 0.95
+                assert fleet.compute_served_share() >= 0.95
 
         asyncio.run(check())
 
@@ -90,7 +91,7 @@
 THREE_ATTEMPTS = {"max_attempts": 3}
 
 
-async def end_three(kit, **request):
+async def crash_three_targets(kit, **request):
     """Send a request that crashes three targets: each closes the connection while running it."""
     kit.script_all("reset")
     assert (await kit.call(path="/bad", **request)).status == 502
@@ -98,10 +99,10 @@
 
 
 class TestBlockedRequest:
-    def test_it_is_refused_at_once_with_the_time_of_its_next_trial(self):
+    def test_blocked_request_is_refused_with_the_time_of_its_next_trial(self):
         async def check():
             async with GatewayKit.open(targets=4, route=THREE_ATTEMPTS) as kit:
-                await end_three(kit)
+                await crash_three_targets(kit)
                 sent = len(kit.received)
                 reply = await kit.call(path="/bad")
                 assert (reply.status, len(kit.received)) == (503, sent)
@@ -110,17 +111,17 @@
 
         asyncio.run(check())
 
-    def test_other_requests_of_its_caller_are_served(self):
+    def test_other_requests_of_the_caller_are_served(self):
         async def check():
             async with GatewayKit.open(targets=4, route=THREE_ATTEMPTS) as kit:
-                await end_three(kit)
+                await crash_three_targets(kit)
                 kit.script_all("answer")
                 assert (await kit.call(path="/good")).status == 200
                 assert (await kit.call(path="/bad", method="POST", body=b"x")).status == 200
 
         asyncio.run(check())
 
-    def test_another_team_is_not_refused_for_it(self):
+    def test_same_request_of_another_team_is_served(self):
         teams = [
             {"name": name, "key_digests": [digest_key(name.encode()).hex()]}
             for name in ("north", "south")
@@ -131,14 +132,14 @@
 
         async def check():
             async with GatewayKit.open(targets=4, teams=teams, route=THREE_ATTEMPTS) as kit:
-                await end_three(kit, extra=sign("north"))
+                await crash_three_targets(kit, extra=sign("north"))
                 kit.script_all("answer")
                 assert (await kit.call(path="/bad", extra=sign("north"))).status == 503
                 assert (await kit.call(path="/bad", extra=sign("south"))).status == 200
 
         asyncio.run(check())
 
-    def test_one_entry_tries_it_and_an_answer_lifts_it_everywhere(self, monkeypatch):
+    def test_one_entry_runs_the_trial_and_success_unblocks_on_all_entries(self, monkeypatch):
         monkeypatch.setattr(quarantine, "TRIALS_AFTER_S", (0.3, 300.0))
 
         async def check():
@@ -149,7 +150,7 @@
                 for kit in kits:
                     await kit.wait(lambda k=kit: len(k.gateway.catalog.list_usable("deck")) == 4)
                     await kit.wait(lambda k=kit: k.gateway.catalog.configuration_version == 2)
-                await end_three(kits[0])
+                await crash_three_targets(kits[0])
                 kits[0].script_all("answer")
                 sent = len(kits[0].received)
                 await asyncio.sleep(1.0)
@@ -162,12 +163,12 @@
 
         asyncio.run(check())
 
-    def test_a_trial_whose_target_ends_is_the_last_for_now(self, monkeypatch):
+    def test_no_further_trial_follows_at_once_when_a_trial_crashes_its_target(self, monkeypatch):
         monkeypatch.setattr(quarantine, "TRIALS_AFTER_S", (0.3, 300.0))
 
         async def check():
             async with GatewayKit.open(targets=6, route=THREE_ATTEMPTS) as kit:
-                await end_three(kit)
+                await crash_three_targets(kit)
                 sent = len(kit.received)
                 await asyncio.sleep(0.4)
                 statuses = [(await kit.call(path="/bad")).status for _ in range(4)]
@@ -178,7 +179,7 @@
 
 
 class TestFullTarget:
-    def test_requests_that_full_targets_do_not_answer_are_not_blamed(self, monkeypatch):
+    def test_unanswered_requests_at_full_targets_are_not_suspected(self, monkeypatch):
         """A caller that retries during an overload must not be blocked."""
 
         async def check():
@@ -195,7 +196,7 @@
 
 
 class TestSilentTarget:
-    def test_what_left_it_unanswered_counts_once_it_is_gone(self):
+    def test_unanswered_request_counts_as_crash_once_its_target_is_gone(self):
         async def check():
             async with GatewayKit.open(targets=4) as kit:
                 kit.script_all("hang")
--- a/halldoor/tests/test_drained_while_connecting.py
+++ b/halldoor/tests/test_drained_while_connecting.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("is_evacuated", [False, True])
-def test_requests_reach_a_target_that_was_withdrawn_while_they_connected(is_evacuated):
+def test_target_withdrawn_during_connecting_receives_no_requests(is_evacuated):
     """The target is withdrawn after it was chosen and before the connection is open."""
 
     async def check():
--- a/halldoor/tests/test_eventlog.py
+++ b/halldoor/tests/test_eventlog.py
@@ -9,7 +9,7 @@
 from halldoor.gateway.eventlog import EventLog
 
 
-def write(calls, *, pause_s=0.0):
+def log_and_read(calls, *, pause_s=0.0):
     """Log requests with the given fields and return the lines written."""
     read_end, write_end = os.pipe()
     log = EventLog("e1", fd=write_end)
@@ -23,24 +23,26 @@
         return [json.loads(line) for line in lines]
 
 
-def answered(took_ms=50, aim_ms=300):
+def build_success(took_ms=50, aim_ms=300):
     """Return the log fields of a successful request."""
     return {"status": 200, "outcome": "answered", "took_ms": took_ms, "aim_ms": aim_ms}
 
 
 class TestSampling:
-    def test_a_quiet_entry_writes_every_request(self):
+    def test_entry_under_low_load_logs_every_request(self):
         """Regression: one in 64 was logged at any load, so 26 of 1,870 late ones had a line."""
-        lines = write([answered()] * 10, pause_s=0.01)
+        lines = log_and_read([build_success()] * 10, pause_s=0.01)
         assert [line["stands_for"] for line in lines] == [1] * 10
 
-    def test_a_busy_entry_writes_a_sample_that_stands_for_all(self):
-        lines = write([answered()] * 2_000)
+    def test_entry_under_high_load_logs_a_weighted_sample(self):
+        lines = log_and_read([build_success()] * 2_000)
         assert len(lines) < 400
         assert 1_000 < sum(line["stands_for"] for line in lines) < 4_000
 
-    def test_what_was_late_or_failed_is_always_written(self):
-        busy = [answered()] * 1_000
-        lines = write([*busy, answered(took_ms=400), {"status": 429, "outcome": "over"}])
+    def test_late_and_failed_requests_are_always_logged(self):
+        busy = [build_success()] * 1_000
+        lines = log_and_read(
+            [*busy, build_success(took_ms=400), {"status": 429, "outcome": "over"}]
+        )
         assert {"id1000", "id1001"} <= {line["id"] for line in lines}
         assert lines[-1]["stands_for"] == 1
--- a/halldoor/tests/test_gateway.py
+++ b/halldoor/tests/test_gateway.py
@@ -8,11 +8,11 @@
 import pytest
 
 from halldoor.gateway.headers import find
-from halldoor.tests.gatewaykit import NAMES, GatewayKit, by_kind
+from halldoor.tests.gatewaykit import NAMES, GatewayKit, build_route_changes
 
 
 class TestWholePath:
-    def test_request_and_answer_pass_unchanged(self):
+    def test_request_and_answer_are_forwarded_unchanged(self):
         async def check():
             async with GatewayKit.open() as kit:
                 extra = [("X-Own", "1"), ("Connection", "X-Hop"), ("X-Hop", "gone")]
@@ -27,7 +27,7 @@
 
         asyncio.run(check())
 
-    def test_chunked_body_arrives_whole(self):
+    def test_chunked_body_arrives_complete(self):
         async def check():
             async with GatewayKit.open() as kit:
                 reader, writer = await asyncio.open_connection("127.0.0.1", kit.front_port)
@@ -42,16 +42,16 @@
         asyncio.run(check())
 
     @pytest.mark.parametrize("size", [100_000, 2_000_000])
-    def test_large_uploads_stream_whole(self, size):
+    def test_large_uploads_are_streamed_completely(self, size):
         async def check():
-            async with GatewayKit.open(route=by_kind("upload")) as kit:
+            async with GatewayKit.open(route=build_route_changes("upload")) as kit:
                 body = bytes(i % 251 for i in range(size))
                 reply = await kit.call(method="POST", body=body, deadline_ms=5000)
                 assert reply.body == b"echo:" + body
 
         asyncio.run(check())
 
-    def test_connections_of_callers_are_kept(self):
+    def test_caller_connection_is_kept_for_further_requests(self):
         async def check():
             async with GatewayKit.open() as kit:
                 caller = await kit.connect()
@@ -61,7 +61,7 @@
 
         asyncio.run(check())
 
-    def test_head_has_no_body(self):
+    def test_answer_to_head_has_no_body(self):
         async def check():
             async with GatewayKit.open() as kit:
                 reply = await kit.call(method="HEAD")
@@ -69,7 +69,7 @@
 
         asyncio.run(check())
 
-    def test_no_configuration_is_503_and_no_route_404(self):
+    def test_missing_configuration_is_503_and_missing_route_is_404(self):
         async def check():
             async with GatewayKit.open(is_configured=False) as kit:
                 assert (await kit.call()).status == 503
@@ -95,7 +95,7 @@
             (b"GET /1 HTTP/1.1\r\nHost: de", b"408"),
         ],
     )
-    def test_what_passes_a_limit_is_refused(self, request_bytes, status):
+    def test_invalid_or_too_large_request_is_refused(self, request_bytes, status):
         async def check():
             limits = {"head_bytes": 2000, "body_bytes": 4000, "head_timeout_s": 0.2}
             async with GatewayKit.open() as kit:
@@ -110,12 +110,12 @@
         asyncio.run(check())
 
     @pytest.mark.parametrize("size", [20_000, 1_500_000])
-    def test_a_chunked_body_past_the_limit_is_refused(self, size):
+    def test_chunked_body_over_the_limit_is_refused(self, size):
         """The length is known only at the end, so the body is refused when it exceeds the limit."""
 
         async def check():
             limit = size - 8_000
-            async with GatewayKit.open(route=by_kind("upload")) as kit:
+            async with GatewayKit.open(route=build_route_changes("upload")) as kit:
                 kit.configure(limits={"body_bytes": limit}, kind="upload")
                 await kit.wait(lambda: kit.gateway.catalog.routing.version == 2)
                 reader, writer = await asyncio.open_connection("127.0.0.1", kit.front_port)
@@ -135,7 +135,7 @@
 
 class TestLostAnswers:
     @pytest.mark.parametrize("script", ["reset", "break_off"])
-    def test_a_repeatable_request_is_sent_again(self, script):
+    def test_repeatable_request_is_retried_after_a_lost_answer(self, script):
         async def check():
             async with GatewayKit.open() as kit:
                 first = await kit.call()
@@ -149,9 +149,9 @@
 
     @pytest.mark.parametrize("script", ["reset", "break_off", "answer_another"])
     @pytest.mark.parametrize("kind", ["at-most-once", "upload"])
-    def test_what_must_run_once_is_never_sent_again(self, script, kind):
+    def test_nonrepeatable_request_is_not_retried_after_a_lost_answer(self, script, kind):
         async def check():
-            async with GatewayKit.open(route=by_kind(kind)) as kit:
+            async with GatewayKit.open(route=build_route_changes(kind)) as kit:
                 kit.script_all(script)
                 reply = await kit.call(method="POST", body=b"x")
                 assert reply.status == 502
@@ -159,7 +159,7 @@
 
         asyncio.run(check())
 
-    def test_log_lines_tell_that_it_was_the_same_request_and_how_it_was_lost(self):
+    def test_log_line_has_request_digest_and_cause_of_the_lost_answer(self):
         async def check():
             lines = []
             async with GatewayKit.open() as kit:
@@ -174,7 +174,7 @@
 
         asyncio.run(check())
 
-    def test_a_surplus_answer_never_reaches_another_request(self):
+    def test_surplus_answer_is_not_forwarded_to_another_request(self):
         async def check():
             async with GatewayKit.open() as kit:
                 target = kit.targets["t0"]
@@ -193,7 +193,7 @@
 
         asyncio.run(check())
 
-    def test_a_success_without_signature_or_encoded_is_none(self):
+    def test_unsigned_or_encoded_success_is_rejected(self):
         async def check():
             async with GatewayKit.open(targets=1, route={"max_attempts": 1}) as kit:
                 target = kit.targets["t0"]
@@ -211,7 +211,7 @@
 
         asyncio.run(check())
 
-    def test_an_answer_without_length_ends_with_its_connection(self):
+    def test_answer_without_length_is_complete_when_the_connection_closes(self):
         async def check():
             async with GatewayKit.open(targets=1) as kit:
                 kit.script_all("answer_unframed")
@@ -220,7 +220,7 @@
 
         asyncio.run(check())
 
-    def test_a_long_answer_that_breaks_off_does_not_look_whole(self):
+    def test_truncated_long_answer_is_not_completed_for_the_caller(self):
         async def check():
             async with GatewayKit.open(targets=1) as kit:
                 target = kit.targets["t0"]
@@ -239,9 +239,9 @@
 
         asyncio.run(check())
 
-    def test_an_early_answer_is_passed_on_and_its_connection_not_used_again(self):
+    def test_early_answer_is_forwarded_and_its_connection_is_not_reused(self):
         async def check():
-            async with GatewayKit.open(targets=1, route=by_kind("upload")) as kit:
+            async with GatewayKit.open(targets=1, route=build_route_changes("upload")) as kit:
                 target = kit.targets["t0"]
                 target.read_body = False
 
@@ -259,8 +259,8 @@
         asyncio.run(check())
 
 
-class TestTime:
-    def test_the_routes_time_limit_ends_a_request(self):
+class TestDeadlines:
+    def test_route_timeout_cancels_a_request(self):
         async def check():
             route = {"timeout_s": 0.2, "max_attempts": 1}
             async with GatewayKit.open(targets=1, route=route) as kit:
@@ -271,7 +271,7 @@
 
         asyncio.run(check())
 
-    def test_the_routes_time_limit_ends_a_long_answer_that_stalls(self):
+    def test_route_timeout_aborts_a_stalled_long_answer(self):
         async def check():
             async with GatewayKit.open(targets=1, route={"timeout_s": 0.4}) as kit:
                 target = kit.targets["t0"]
@@ -289,7 +289,7 @@
 
         asyncio.run(check())
 
-    def test_a_long_answer_counts_as_in_flight_until_its_end(self):
+    def test_long_answer_counts_as_in_flight_until_complete(self):
         async def check():
             async with GatewayKit.open(targets=1, route={"timeout_s": 5.0}) as kit:
                 target = kit.targets["t0"]
@@ -314,7 +314,7 @@
 
         asyncio.run(check())
 
-    def test_a_caller_that_leaves_ends_the_targets_work(self):
+    def test_target_work_is_cancelled_when_the_caller_disconnects(self):
         async def check():
             async with GatewayKit.open(targets=1) as kit:
                 kit.script_all("hang")
--- a/halldoor/tests/test_gateway_life.py
+++ b/halldoor/tests/test_gateway_life.py
@@ -24,8 +24,8 @@
         await kit.gateway.stop()
 
 
-class TestStoreAndLife:
-    def test_a_draining_target_gets_nothing_more(self):
+class TestStoreAndStop:
+    def test_draining_target_receives_no_new_requests(self):
         async def check():
             async with GatewayKit.open() as kit:
                 kit.write_target("t0", is_draining=True)
@@ -37,7 +37,7 @@
         asyncio.run(check())
 
     @pytest.mark.parametrize("has_history", [True, False])
-    def test_what_changed_while_the_store_was_away_is_caught_up(self, has_history):
+    def test_changes_during_a_store_outage_are_applied_after_it(self, has_history):
         async def check():
             async with GatewayKit.open() as kit:
                 kit.store.cut()
@@ -53,7 +53,7 @@
 
         asyncio.run(check())
 
-    def test_the_store_is_not_taken_for_away_while_it_renews_and_a_watch_waits(self):
+    def test_idle_watch_with_lease_renewals_does_not_count_as_store_outage(self):
         async def check():
             async with GatewayKit.open() as kit:
                 contact = kit.gateway.catalog.contact
@@ -65,7 +65,7 @@
 
         asyncio.run(check())
 
-    def test_a_record_that_was_taken_away_is_written_again(self):
+    def test_removed_entry_record_is_written_again(self):
         async def check():
             async with GatewayKit.open() as kit:
                 await kit.wait(lambda: kit.store.list_keys("entries/"))
@@ -74,7 +74,7 @@
 
         asyncio.run(check())
 
-    def test_an_entry_is_known_to_others_only_once_it_takes_connections(self):
+    def test_entry_registers_only_after_it_accepts_connections(self):
         async def check():
             seen = []
 
@@ -91,7 +91,7 @@
 
         asyncio.run(check())
 
-    def test_an_entry_is_known_to_others_only_once_it_has_read_everything(self):
+    def test_entry_registers_only_after_it_has_read_the_store(self):
         """Regression: callers directed to the entry before that received 503."""
 
         async def check():
@@ -112,7 +112,7 @@
 
         asyncio.run(check())
 
-    def test_a_start_reads_every_key_in_one_range(self):
+    def test_start_reads_all_keys_in_one_range(self):
         """The range includes keys without meaning for the gateway, which are ignored."""
 
         async def check():
@@ -126,7 +126,7 @@
 
         asyncio.run(check())
 
-    def test_a_stop_finishes_what_runs_and_leaves_the_lookups(self):
+    def test_stop_finishes_running_requests_and_removes_the_entry_record(self):
         async def check():
             async with GatewayKit.open(targets=1, lookup_ttl_s=0.1, grace_s=3.0) as kit:
                 target = kit.targets["t0"]
@@ -151,7 +151,7 @@
 
 
 class TestReload:
-    def test_changed_bounds_hold_at_once_and_addresses_from_the_next_start(self):
+    def test_reloaded_limits_apply_at_once_and_addresses_after_restart(self):
         async def check():
             async with GatewayKit.open() as kit:
                 gateway = kit.gateway
@@ -170,7 +170,7 @@
 
         asyncio.run(check())
 
-    def test_a_file_is_taken_up_on_a_signal_and_without_one(self, tmp_path, monkeypatch):
+    def test_settings_file_is_reloaded_on_a_signal_and_when_it_changes(self, tmp_path, monkeypatch):
         """An unreadable file changes nothing, and the next valid one is applied."""
         monkeypatch.setattr(runner, "CHECK_S", 0.02)
 
--- a/halldoor/tests/test_kept_connections.py
+++ b/halldoor/tests/test_kept_connections.py
@@ -9,7 +9,7 @@
 from halldoor.tests.gatewaykit import GatewayKit
 
 
-def by_kind(kind):
+def build_route_changes(kind):
     """Return the route fields to override for a kind of request."""
     return {"kind": kind}
 
@@ -18,11 +18,11 @@
     @pytest.mark.parametrize(
         ("kind", "connections"), [("repeatable", 1), ("at-most-once", 1), ("upload", 3)]
     )
-    def test_all_but_uploads_share_a_connection(self, kind, connections):
+    def test_requests_other_than_uploads_reuse_a_connection(self, kind, connections):
         """A new connection costs a round trip before the request is sent: a fifth of some aims."""
 
         async def check():
-            async with GatewayKit.open(targets=1, route=by_kind(kind)) as kit:
+            async with GatewayKit.open(targets=1, route=build_route_changes(kind)) as kit:
                 for _ in range(3):
                     assert (await kit.call(method="POST", body=b"x")).status == 200
                 assert len({r.connection for r in kit.received}) == connections
@@ -30,11 +30,11 @@
         asyncio.run(check())
 
     @pytest.mark.parametrize("kind", ["repeatable", "at-most-once"])
-    def test_an_answer_that_comes_twice_does_not_cost_the_next_request(self, kind):
+    def test_late_duplicate_answer_does_not_fail_the_next_request(self, kind):
         """The surplus answer arrives where the next request's answer is expected."""
 
         async def check():
-            async with GatewayKit.open(targets=1, route=by_kind(kind)) as kit:
+            async with GatewayKit.open(targets=1, route=build_route_changes(kind)) as kit:
                 target = kit.targets["t0"]
                 earlier = {}
 
@@ -52,9 +52,9 @@
 
         asyncio.run(check())
 
-    def test_a_connection_that_ends_under_an_order_is_outcome_unknown(self):
+    def test_nonrepeatable_request_on_a_reset_kept_connection_is_502(self):
         async def check():
-            async with GatewayKit.open(route=by_kind("at-most-once")) as kit:
+            async with GatewayKit.open(route=build_route_changes("at-most-once")) as kit:
                 assert (await kit.call(method="POST", body=b"x")).status == 200
                 kit.script_all("reset")
                 assert (await kit.call(method="POST", body=b"x")).status == 502
@@ -63,11 +63,11 @@
 
         asyncio.run(check())
 
-    def test_one_silent_connection_makes_all_kept_ones_suspicious(self):
+    def test_unacknowledged_connection_closes_all_idle_ones(self):
         """A network fault that cuts one connection without a reset cuts others too."""
 
         async def check():
-            async with GatewayKit.open(targets=2, route=by_kind("at-most-once")) as kit:
+            async with GatewayKit.open(targets=2, route=build_route_changes("at-most-once")) as kit:
                 for key in "abcdefgh":
                     await kit.call(method="POST", body=b"x", key=key)
                 assert {len(t.received) > 0 for t in kit.targets.values()} == {True}
@@ -84,11 +84,11 @@
 
         asyncio.run(check())
 
-    def test_a_kept_connection_without_an_answer_makes_its_targets_others_suspicious(self):
+    def test_unanswered_kept_connection_closes_the_targets_idle_ones(self):
         """A peer may acknowledge bytes on old connections and never answer; new ones work."""
 
         async def check():
-            async with GatewayKit.open(targets=1, route=by_kind("at-most-once")) as kit:
+            async with GatewayKit.open(targets=1, route=build_route_changes("at-most-once")) as kit:
                 target = kit.targets["t0"]
                 first = [asyncio.ensure_future(kit.call(method="POST", body=b"x")) for _ in "ab"]
                 assert [(await call).status for call in first] == [200, 200]
@@ -100,11 +100,11 @@
 
         asyncio.run(check())
 
-    def test_one_lost_peer_costs_one_order(self):
+    def test_crashed_target_with_several_kept_connections_fails_one_request(self):
         """Regression: each kept connection to a crashed target failed one more request."""
 
         async def check():
-            async with GatewayKit.open(targets=1, route=by_kind("at-most-once")) as kit:
+            async with GatewayKit.open(targets=1, route=build_route_changes("at-most-once")) as kit:
                 calls = [asyncio.ensure_future(kit.call(method="POST", body=b"x")) for _ in "abc"]
                 assert [(await call).status for call in calls] == [200] * 3
                 assert kit.gateway.pool.count_idle() == 3
--- a/halldoor/tests/test_named_limit.py
+++ b/halldoor/tests/test_named_limit.py
@@ -18,14 +18,14 @@
     return 1.5 * limit_per_s * WINDOW_S + 5.0
 
 
-def name_limit(target, text):
+def set_limit(target, text):
     """Make a target send a limit in each of its answers."""
     target.extra = [(b"halldoor-limit", text)]
 
 
 @pytest.mark.parametrize(("entries", "limit_per_s"), [(6, 6.5), (10, 6.5), (10, 0.3), (10, 0.0)])
 @pytest.mark.parametrize("is_isolated", [False, True])
-def test_entries_together_exceed_a_named_limit(entries, limit_per_s, is_isolated):
+def test_entries_together_keep_to_a_limit(entries, limit_per_s, is_isolated):
     """Each entry uses its share of the limit, even if it reaches neither store nor entries."""
 
     async def check():
@@ -35,7 +35,7 @@
             if is_isolated:
                 fleet.cut(*range(entries), from_others=True)
             limited = fleet.targets[0]
-            name_limit(limited, str(limit_per_s).encode())
+            set_limit(limited, str(limit_per_s).encode())
             since = fleet.now() + SPREAD_S
             await asking
             most = limited.count_most(since=since, window_s=WINDOW_S)
@@ -45,8 +45,8 @@
     asyncio.run(check())
 
 
-class TestEnd:
-    def test_traffic_returns_to_a_target_that_no_longer_names_a_limit(self):
+class TestEndOfLimit:
+    def test_traffic_returns_to_a_target_that_removed_its_limit(self):
         """Traffic returns gradually, also from entries that sent the target nothing."""
 
         async def check():
@@ -54,7 +54,7 @@
                 asking = asyncio.ensure_future(fleet.ask(per_s=90.0, for_s=14.0))
                 await asyncio.sleep(1.0)
                 limited = fleet.targets[0]
-                name_limit(limited, b"0.5")
+                set_limit(limited, b"0.5")
                 await asyncio.sleep(5.0)
                 limited.extra = []
                 ended_at = fleet.now()
@@ -68,10 +68,10 @@
         asyncio.run(check())
 
     @pytest.mark.parametrize("text", [b"none", b"-1", b"nan", b"inf"])
-    def test_what_is_no_limit_is_passed_over(self, text):
+    def test_invalid_limit_is_ignored(self, text):
         async def check():
             async with RateFleet.open(entries=1, targets=1) as fleet:
-                name_limit(fleet.targets[0], text)
+                set_limit(fleet.targets[0], text)
                 await fleet.ask(per_s=60.0, for_s=1.0)
                 assert {status for _, _, status in fleet.statuses} == {200}
                 metrics = fleet.kits[0].gateway.metrics.render().decode()
@@ -80,11 +80,11 @@
         asyncio.run(check())
 
 
-def test_where_all_targets_name_limits_what_does_not_fit_is_refused_at_once():
+def test_requests_over_the_limits_of_all_targets_are_refused_at_once():
     async def check():
         async with RateFleet.open(entries=2, targets=2) as fleet:
             for target in fleet.targets:
-                name_limit(target, b"4")
+                set_limit(target, b"4")
             await fleet.ask(per_s=40.0, for_s=1.0)
             caller = await fleet.kits[0].connect()
             refused = 0
--- a/halldoor/tests/test_not_run.py
+++ b/halldoor/tests/test_not_run.py
@@ -8,14 +8,14 @@
 
 from halldoor.gateway.connection import ConnectionFailedError
 from halldoor.gateway.pool import CONNECT_TIMEOUT_S
-from halldoor.tests.gatewaykit import NAMES, GatewayKit, by_kind
+from halldoor.tests.gatewaykit import NAMES, GatewayKit, build_route_changes
 
 
 class TestNotRun:
     @pytest.mark.parametrize("kind", ["repeatable", "at-most-once", "upload"])
-    def test_what_every_target_sheds_is_refused_at_once(self, kind):
+    def test_request_shed_by_all_targets_is_refused_at_once(self, kind):
         async def check():
-            async with GatewayKit.open(route=by_kind(kind)) as kit:
+            async with GatewayKit.open(route=build_route_changes(kind)) as kit:
                 kit.script_all("shed")
                 reply = await kit.call(method="POST", body=b"x")
                 assert reply.status == 503
@@ -25,9 +25,9 @@
 
         asyncio.run(check())
 
-    def test_another_incarnation_is_dropped_and_the_request_goes_on(self):
+    def test_target_replaced_by_another_incarnation_is_removed(self):
         async def check():
-            async with GatewayKit.open(targets=2, route=by_kind("at-most-once")) as kit:
+            async with GatewayKit.open(targets=2, route=build_route_changes("at-most-once")) as kit:
                 for target in kit.targets.values():
                     target.incarnation = "new"
                 reply = await kit.call(method="POST", body=b"x")
@@ -36,9 +36,9 @@
 
         asyncio.run(check())
 
-    def test_dead_target_costs_no_attempt(self):
+    def test_refused_connection_does_not_count_as_attempt(self):
         async def check():
-            async with GatewayKit.open(targets=3, route=by_kind("at-most-once")) as kit:
+            async with GatewayKit.open(targets=3, route=build_route_changes("at-most-once")) as kit:
                 for name in ("t0", "t1"):
                     await kit.targets[name].stop()
                 reply = await kit.call(method="POST", body=b"x")
@@ -46,14 +46,14 @@
 
         asyncio.run(check())
 
-    def test_the_last_target_that_runs_is_found(self):
+    def test_request_reaches_the_only_running_target(self):
         """Regression: a request was refused after three refused connections within 5 ms.
 
         It had 0.99 s left and nine targets were running: 1 to 6 of some 60 requests in 8 s failed.
         """
 
         async def check():
-            async with GatewayKit.open(targets=8, route=by_kind("at-most-once")) as kit:
+            async with GatewayKit.open(targets=8, route=build_route_changes("at-most-once")) as kit:
                 for name in list(kit.targets)[1:]:
                     await kit.targets[name].stop()
                 reply = await kit.call(method="POST", body=b"x")
@@ -61,7 +61,7 @@
 
         asyncio.run(check())
 
-    def test_connections_that_hang_end_it_while_its_caller_can_come_back(self, monkeypatch):
+    def test_request_is_refused_after_three_hanging_connections(self, monkeypatch):
         async def hang(*args, **options):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
             raise ConnectionFailedError("TimeoutError")
--- a/halldoor/tests/test_policy_settings.py
+++ b/halldoor/tests/test_policy_settings.py
@@ -21,7 +21,7 @@
 
 
 class TestPolicyFile:
-    def test_named_settings_change_and_the_others_stay(self):
+    def test_policy_changes_only_the_settings_in_it(self):
         policy = {"choice": {"region_fill": 1}, "connections": {"reuse": "repeatable"}}
         changed = SETTINGS.use_policy(policy, origin="p.yaml")
         assert changed.choice == SETTINGS.choice._replace(region_fill=1.0)
@@ -38,14 +38,14 @@
             (["choice"], r"p\.yaml"),
         ],
     )
-    def test_what_is_wrong_is_named(self, policy, wanted):
+    def test_error_names_the_wrong_setting(self, policy, wanted):
         with pytest.raises(SettingsError, match=wanted):
             SETTINGS.use_policy(policy, origin="p.yaml")
 
 
 class TestSwitches:
     @pytest.mark.parametrize("name", ["ejects_failing", "ejects_slow"])
-    def test_an_ejection_can_be_switched_off(self, name):
+    def test_ejections_can_be_disabled(self, name):
         settings = SETTINGS.use_policy({"outliers": {name: False}}, origin="p.yaml")
         table = OutlierTable(settings.outliers)
         for number in range(20):
@@ -57,6 +57,6 @@
             assert not table.is_ejected("t1", number)
 
     @pytest.mark.parametrize("reuse", Reuse)
-    def test_uploads_never_take_a_kept_connection(self, reuse):
+    def test_uploads_never_use_a_kept_connection(self, reuse):
         settings = SETTINGS.use_policy({"connections": {"reuse": reuse.value}}, origin="p.yaml")
         assert TargetPool(settings.connections).take_idle("t1", RequestKind.UPLOAD) is None
--- a/halldoor/tests/test_quick_rejections.py
+++ b/halldoor/tests/test_quick_rejections.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("fields", [[], [(b"Retry-After", b"soon")]])
-def test_targets_that_reject_at_once_cost_requests_that_others_have_room_for(fields):
+def test_targets_that_reject_at_once_do_not_attract_more_requests(fields):
     """The rejections have no ``Retry-After``, or an unreadable one."""
 
     async def check():
--- a/halldoor/tests/test_requested_rest.py
+++ b/halldoor/tests/test_requested_rest.py
@@ -17,19 +17,19 @@
 """Greatest number of requests of one entry that may reach a target within a rest."""
 
 
-def ask_for_rest(targets, text):
+def reject_with_retry_after(targets, text):
     """Make targets reject every request with a ``Retry-After`` value."""
     for target in targets:
         target.rejection = [(b"Retry-After", text)]
 
 
-def serve(targets):
+def stop_rejecting(targets):
     """Make targets answer requests normally again."""
     for target in targets:
         target.rejection = None
 
 
-def count_most_in_rest(target, rest_s=REST_S):
+def find_greatest_count_in_rest(target, rest_s=REST_S):
     """Return the greatest number of requests of one entry within a rest requested from it."""
     return max(
         (
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("entries", [6, 10])
-def test_requests_reach_a_target_within_the_rest_that_it_asked_for(entries):
+def test_target_receives_almost_no_requests_within_its_requested_rest(entries):
     """The other targets have free slots, so nearly all requests are served."""
 
     async def check():
@@ -50,18 +50,18 @@
             await asyncio.sleep(1.0)
             resting = fleet.targets[:2]
             since = fleet.now()
-            ask_for_rest(resting, b"3")
+            reject_with_retry_after(resting, b"3")
             await asyncio.sleep(5.0)
-            serve(resting)
+            stop_rejecting(resting)
             await asking
             assert all(target.rejected for target in resting)
-            assert max(map(count_most_in_rest, resting)) <= MOST_IN_REST
+            assert max(map(find_greatest_count_in_rest, resting)) <= MOST_IN_REST
             assert fleet.find_served(range(entries), since=since) > 0.98
 
     asyncio.run(check())
 
 
-def test_callers_are_told_to_come_back_while_all_targets_rest():
+def test_retry_after_covers_the_rest_when_all_targets_request_one():
     """No ``Retry-After`` ends before the first target accepts requests again."""
 
     async def check():
@@ -69,28 +69,28 @@
             asking = asyncio.ensure_future(fleet.ask(per_s=200.0, for_s=7.0))
             await asyncio.sleep(1.0)
             begin = fleet.now()
-            ask_for_rest(fleet.targets, b"3")
+            reject_with_retry_after(fleet.targets, b"3")
             await asyncio.sleep(1.5)
             first = len(fleet.told)
             await asyncio.sleep(1.0)
-            serve(fleet.targets)
+            stop_rejecting(fleet.targets)
             told = fleet.told[first:]
             assert len(told) > 100
             for at, after_s in told:
                 assert at + after_s >= begin + REST_S
             await asking
-            assert max(map(count_most_in_rest, fleet.targets)) <= MOST_IN_REST
+            assert max(map(find_greatest_count_in_rest, fleet.targets)) <= MOST_IN_REST
 
     asyncio.run(check())
 
 
 @pytest.mark.parametrize("text", [b"-3", b"nan", b"inf", b"soon", b"3, 4", b"", b"\xff"])
-def test_a_rest_that_can_not_be_read_is_counted(text):
+def test_unreadable_rest_is_counted(text):
     async def check():
         async with RateFleet.open(entries=1, targets=1) as fleet:
-            ask_for_rest(fleet.targets, text)
+            reject_with_retry_after(fleet.targets, text)
             await fleet.ask(per_s=40.0, for_s=0.5)
-            serve(fleet.targets)
+            stop_rejecting(fleet.targets)
             await asyncio.sleep(0.2)
             assert (await fleet.kits[0].call()).status == 200
             metrics = fleet.kits[0].gateway.metrics.render().decode()
@@ -114,7 +114,7 @@
             (b"Wed, 21 Oct 2015 07:00:00 GMT", 0.0),
         ],
     )
-    def test_what_a_target_may_write(self, value, rest_s):
+    def test_retry_after_is_parsed_as_seconds_or_date(self, value, rest_s):
         assert parse_backoff(value, self.WALL_S) == rest_s
 
     def test_repeated_fields_are_one_value(self):
@@ -128,7 +128,7 @@
 
     START = ("t1", 0)
 
-    def count_sent(self, table, times, *, is_sound, rest_s=0.0):
+    def send_when_allowed(self, table, times, *, is_sound, rest_s=0.0):
         """Return the times at which a request was allowed; each is answered before the next."""
         sent = []
         for now in times:
@@ -141,38 +141,38 @@
                     table.add(self.START, rest_s, now)
         return sent
 
-    def test_nothing_is_sent_in_a_short_rest(self):
+    def test_no_request_is_sent_in_a_short_rest(self):
         table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
-        assert not self.count_sent(table, [i / 10 for i in range(30)], is_sound=True)
+        assert not self.send_when_allowed(table, [i / 10 for i in range(30)], is_sound=True)
         assert table.can_send(self.START, 3.0, in_flight=0)
 
-    def test_the_longer_of_two_rests_holds(self):
+    def test_longer_of_two_rests_applies(self):
         table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
         table.add(self.START, 1.0, 0.1)
         assert table.find_wait(self.START, 1.0) == 2.0
 
-    def test_a_target_that_asks_for_an_hour_in_error_is_not_lost(self):
+    def test_target_with_a_rest_of_an_hour_is_used_again_after_a_success(self):
         table = BackoffTable()
         table.add(self.START, 3600.0, 0.0)
-        assert len(self.count_sent(table, range(61), is_sound=True)) == MOST_IN_REST
+        assert len(self.send_when_allowed(table, range(61), is_sound=True)) == MOST_IN_REST
         assert table.can_send(self.START, 61.0, in_flight=0)
 
     @pytest.mark.parametrize("rest_s", [40.0, 600.0, 3600.0])
-    def test_a_target_that_keeps_asking_gets_two_requests_in_a_rest(self, rest_s):
+    def test_target_with_repeated_rests_receives_two_requests_in_each(self, rest_s):
         table = BackoffTable()
         table.add(self.START, rest_s, 0.0)
-        sent = [0.0, *self.count_sent(table, range(8000), is_sound=False, rest_s=rest_s)]
+        sent = [0.0, *self.send_when_allowed(table, range(8000), is_sound=False, rest_s=rest_s)]
         for at in sent:
             assert sum(at + GRACE_S < t < at + rest_s for t in sent) <= MOST_IN_REST
 
-    def test_a_rest_has_an_end_whatever_is_asked(self):
+    def test_rest_length_is_limited(self):
         table = BackoffTable()
         table.add(self.START, 1e12, 0.0)
         assert table.find_wait(self.START, 0.0) == BACKOFF_MAX_S
 
-    def test_the_requests_in_flight_grow_after_a_rest(self):
+    def test_allowed_requests_in_flight_grow_after_a_rest(self):
         table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
         assert not table.can_send(self.START, 5.0, in_flight=1)
@@ -183,7 +183,7 @@
         ]
         assert allowed == [1, 2, 5, 20]
 
-    def test_it_does_not_hold_for_the_next_start(self):
+    def test_rest_does_not_apply_after_a_restart_of_the_target(self):
         table = BackoffTable()
         table.add(self.START, 3.0, 0.0)
         assert table.can_send(("t1", 7), 1.0, in_flight=0)
--- a/halldoor/tests/test_suspension.py
+++ b/halldoor/tests/test_suspension.py
@@ -27,9 +27,9 @@
 from halldoor.tests.gatewaykit import NAMES, GatewayKit
 
 SUSPENSIONS_S = [5.0, 60.0]
-PATIENCE_S = 600.0
+MAX_WAIT_S = 600.0
 """Time that a caller waits for an answer, suspensions included, in seconds."""
-TRAVEL_S = 0.1
+READ_DELAY_S = 0.1
 """Time until an entry has read a caller's request, on a busy host, in seconds."""
 CLOSED = 0
 """Status that stands for a connection closed before its request was read."""
@@ -39,9 +39,9 @@
     """The gateway's clock with added seconds of simulated suspension."""
 
     def __init__(self, monkeypatch):
-        self.slept_s = 0.0
+        self.suspended_s = 0.0
         read = clock.read_seconds
-        monkeypatch.setattr(clock, "read_seconds", lambda: read() + self.slept_s)
+        monkeypatch.setattr(clock, "read_seconds", lambda: read() + self.suspended_s)
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
     return Suspension(monkeypatch)
 
 
-async def ask(address, target):
+async def get_status(address, target):
     """Send a GET request to an address and return the status."""
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(f"GET {target} HTTP/1.1\r\nHost: e\r\nConnection: close\r\n\r\n".encode())
@@ -60,11 +60,11 @@
 
 
 class TestSuspension:
-    def test_the_loop_counts_it(self, suspension):
+    def test_loop_time_includes_suspensions(self, suspension):
         async def check():
             loop = asyncio.get_running_loop()
             before = loop.time()
-            suspension.slept_s = 60.0
+            suspension.suspended_s = 60.0
             assert loop.time() - before > 59.0
             async with asyncio.timeout(1.0):
                 await asyncio.sleep(0.01)
@@ -72,69 +72,69 @@
         clock.run(check())
 
     @pytest.mark.parametrize("slept_s", SUSPENSIONS_S)
-    def test_an_entry_is_not_ready_until_it_has_asked_the_store(self, suspension, slept_s):
+    def test_resumed_entry_is_not_ready_until_it_has_read_the_store(self, suspension, slept_s):
         async def check():
             ready, directory = (Address(IP, port) for port in find_ports(2))
             async with GatewayKit.open(ready=ready, directory=directory) as kit:
                 await kit.wait(lambda: kit.gateway.is_ready)
-                assert await ask(ready, "/ready") == 200
-                assert await ask(directory, "/entries?hall=ams-a&region=ams") == 200
+                assert await get_status(ready, "/ready") == 200
+                assert await get_status(directory, "/entries?hall=ams-a&region=ams") == 200
                 asked, kit.store.is_slow = kit.store.ranges, True
-                suspension.slept_s = slept_s
-                assert await ask(ready, "/ready") == 503
-                assert await ask(directory, "/entries?hall=ams-a&region=ams") == 503
+                suspension.suspended_s = slept_s
+                assert await get_status(ready, "/ready") == 503
+                assert await get_status(directory, "/entries?hall=ams-a&region=ams") == 503
                 kit.store.is_slow = False
                 await kit.wait(lambda: kit.gateway.is_ready)
                 assert kit.store.ranges > asked
 
         clock.run(check())
 
-    def test_a_store_that_is_down_does_not_keep_it_from_serving(self, suspension):
+    def test_resumed_entry_serves_while_the_store_is_down(self, suspension):
         async def check():
             async with GatewayKit.open() as kit:
                 kit.store.cut()
-                suspension.slept_s = 60.0
+                suspension.suspended_s = 60.0
                 await asyncio.sleep(0.2)
                 await kit.wait(lambda: kit.gateway.is_ready, limit_s=2.0)
                 assert (await kit.call()).status == 200
 
         clock.run(check())
 
-    def test_what_lay_unread_is_not_sent(self, suspension):
+    def test_request_unread_during_a_suspension_is_not_sent(self, suspension):
         """The caller may have given up during the suspension, which the entry can't detect."""
 
         async def check():
             async with GatewayKit.open() as kit:
                 caller = await kit.connect()
                 await caller.send()
-                suspension.slept_s = 5.0
+                suspension.suspended_s = 5.0
                 assert (await caller.receive()).status == 503
                 assert kit.received == []
 
         clock.run(check())
 
     @pytest.mark.parametrize("slept_s", [2.0, *SUSPENSIONS_S])
-    def test_no_connection_of_before_is_used(self, suspension, slept_s):
+    def test_connections_kept_before_a_suspension_are_not_reused(self, suspension, slept_s):
         async def check():
             async with GatewayKit.open(targets=1) as kit:
                 await kit.call()
                 await kit.call()
                 assert [r.connection for r in kit.received] == [1, 1]
-                suspension.slept_s = slept_s
+                suspension.suspended_s = slept_s
                 while (await kit.call()).status != 200:
                     await asyncio.sleep(0.02)
                 assert kit.received[-1].connection == 2
 
         clock.run(check())
 
-    def test_nothing_is_sent_past_its_callers_deadline(self, suspension):
+    def test_request_is_not_sent_after_its_deadline(self, suspension):
         async def check():
             async with GatewayKit.open(targets=1) as kit:
                 opened = kit.gateway.pool.open
 
                 async def open_and_sleep(*args, **options):
                     connection = await opened(*args, **options)
-                    suspension.slept_s = 5.0
+                    suspension.suspended_s = 5.0
                     return connection
 
                 kit.gateway.pool.open = open_and_sleep
@@ -143,14 +143,14 @@
 
         clock.run(check())
 
-    def test_what_may_have_run_is_not_sent_again(self, suspension):
+    def test_request_that_may_have_run_is_not_retried_after_a_suspension(self, suspension):
         async def check():
             async with GatewayKit.open(route={"kind": "at-most-once"}) as kit:
                 kit.script_all("hang")
                 caller = await kit.connect()
                 await caller.send(method="POST", body=b"x")
                 await kit.wait(lambda: kit.received)
-                suspension.slept_s = 60.0
+                suspension.suspended_s = 60.0
                 assert (await caller.receive()).status == 504
                 await asyncio.sleep(0.1)
                 assert len(kit.received) == 1
@@ -159,74 +159,74 @@
 
 
 class TestClock:
-    def test_a_system_without_it_goes_by_the_steady_one(self, monkeypatch):
+    def test_clock_without_boottime_is_monotonic(self, monkeypatch):
         monkeypatch.setattr(clock, "_BOOT_TIME", None)
         assert not clock.counts_suspensions()
         assert clock.read_seconds() > 0
 
 
-class TestAnyMoment:
+class TestRandomSuspensions:
     """Requests are running while the host is suspended at random moments."""
 
     @pytest.mark.parametrize("seed", range(8))
-    def test_what_is_promised_holds(self, suspension, monkeypatch, seed):
+    def test_guarantees_hold_under_random_suspensions(self, suspension, monkeypatch, seed):
         source = random.Random(seed)
         kind = source.choice(["repeatable", "at-most-once"])
         runs = Counter()
         late = []
-        expires_at, asked_in = {}, {}
+        expires_at, suspended_s_at_start = {}, {}
         handle = RequestHandler.handle
 
-        async def note_and_handle(handler, caller, head):
+        async def record_and_handle(handler, caller, head):
             attempt_id = find(head.headers, NAMES.attempt_id).decode()
-            if asked_in[attempt_id] != suspension.slept_s:
+            if suspended_s_at_start[attempt_id] != suspension.suspended_s:
                 # Unread during a suspension, of which the entry can't tell the length.
                 expires_at[attempt_id] = head.received_at + 0.8
             await handle(handler, caller, head)
 
-        monkeypatch.setattr(RequestHandler, "handle", note_and_handle)
+        monkeypatch.setattr(RequestHandler, "handle", record_and_handle)
 
         async def check():
             async with GatewayKit.open(targets=3, route={"kind": kind}) as kit:
                 loop = asyncio.get_running_loop()
                 send = HttpConnection.send
 
-                async def note_and_send(connection, *events):
+                async def record_and_send(connection, *events):
                     if isinstance(events[0], h11.Request):
                         attempt_id = find(events[0].headers.raw_items(), NAMES.attempt_id).decode()
                         runs[attempt_id] += 1
-                        if loop.time() > expires_at[attempt_id] + TRAVEL_S:
+                        if loop.time() > expires_at[attempt_id] + READ_DELAY_S:
                             late.append(attempt_id)
                     await send(connection, *events)
 
-                monkeypatch.setattr(HttpConnection, "send", note_and_send)
+                monkeypatch.setattr(HttpConnection, "send", record_and_send)
 
                 async def ask(number):
                     await asyncio.sleep(source.uniform(0.0, 0.5))
                     attempt_id = f"s{seed}-{number}"
                     expires_at[attempt_id] = loop.time() + 0.8
-                    asked_in[attempt_id] = suspension.slept_s
+                    suspended_s_at_start[attempt_id] = suspension.suspended_s
                     caller = await kit.connect()
                     try:
                         await caller.send(
                             attempt_id=attempt_id, key=str(number), method="POST", body=b"x"
                         )
-                        reply = await caller.receive(limit_s=PATIENCE_S)
+                        reply = await caller.receive(limit_s=MAX_WAIT_S)
                     except ConnectionError:
                         # A connection that was idle in a suspension may close unread.
-                        assert asked_in[attempt_id] != suspension.slept_s
+                        assert suspended_s_at_start[attempt_id] != suspension.suspended_s
                         return attempt_id, CLOSED
                     finally:
                         caller.close()
                     if reply.status == 408:
-                        assert asked_in[attempt_id] != suspension.slept_s
+                        assert suspended_s_at_start[attempt_id] != suspension.suspended_s
                         return attempt_id, CLOSED
                     return attempt_id, reply.status
 
                 async def suspend():
                     for _ in range(3):
                         await asyncio.sleep(source.uniform(0.02, 0.2))
-                        suspension.slept_s += source.choice([0.5, 5.0, 60.0])
+                        suspension.suspended_s += source.choice([0.5, 5.0, 60.0])
 
                 *answers, _ = await asyncio.gather(*(ask(i) for i in range(40)), suspend())
                 assert len(answers) == 40
@@ -241,7 +241,7 @@
         clock.run(check())
 
 
-def relies(entry):
+def uses_cached_state(entry):
     """Check whether an entry reports ready and answers look-ups from its cached state."""
     is_confirming = entry.sync.is_confirming or entry.maintenance.has_stood_still()
     return entry.catalog.routing is not None and not is_confirming
@@ -255,7 +255,7 @@
     is_down=st.booleans(),
 )
 @example(suspensions=[(0.0, 2.0, False), (0.0, 30.0, False)], is_down=False)
-def test_who_wakes_relies_on_nothing_that_changed_meanwhile(suspensions, is_down):
+def test_resumed_entry_does_not_use_outdated_state(suspensions, is_down):
     """Entries of two halls, one of which reads the store for others, are suspended at random.
 
     Runs in virtual time.
@@ -275,7 +275,7 @@
             fleet.configure(version := version + 1)
             for _ in range(40):
                 await asyncio.sleep(0.005)
-                relying = [e for e in fleet.entries.values() if relies(e)]
+                relying = [e for e in fleet.entries.values() if uses_cached_state(e)]
                 assert all(e.catalog.configuration_version == version for e in relying)
             if is_down:
                 fleet.store.cut()
--- a/properties/test_gateway.py
+++ b/properties/test_gateway.py
@@ -48,7 +48,7 @@
     return choose
 
 
-async def play(plan):
+async def run_plan(plan):
     """Send one request per step of the plan, while each target follows its script."""
     ran = Counter()
     async with GatewayKit.open(targets=TARGETS, route={"kind": "at-most-once"}) as kit:
@@ -68,5 +68,5 @@
 
 @settings(max_examples=40)
 @given(st.lists(st.tuples(*[st.sampled_from(SCRIPTS)] * TARGETS), min_size=2, max_size=8))
-def test_an_order_runs_at_most_once_and_its_answer_is_its_own(plan):
-    asyncio.run(play(plan))
+def test_nonrepeatable_request_runs_at_most_once_and_gets_its_own_answer(plan):
+    asyncio.run(run_plan(plan))
