--- a/halldoor/cli/gateway.py
+++ b/halldoor/cli/gateway.py
@@ -55,7 +55,7 @@
     data = msgspec.structs.asdict(checked)
     policy = data.pop("policy")
     del data["configuration"]
-    return GatewaySettings(**data).use_policy(policy, origin="policy")
+    return GatewaySettings(**data).apply_policy(policy, origin="policy")
 
 
 def main() -> None:
--- a/halldoor/cli/replay.py
+++ b/halldoor/cli/replay.py
@@ -75,7 +75,7 @@
     """
     policies = {STANDING: _USUAL.choice}
     for path in paths:
-        settings = _USUAL.use_policy(load_yaml(path), origin=str(path))
+        settings = _USUAL.apply_policy(load_yaml(path), origin=str(path))
         others = [name for name in settings.find_changes(_USUAL) if name != SECTION]
         if others:
             raise SettingsError(
--- a/halldoor/gateway/coldstate.py
+++ b/halldoor/gateway/coldstate.py
@@ -31,7 +31,7 @@
 other of the results."""
 CHECK_TIMEOUT_S = 1.0
 """Time limit of a health answer, in seconds; at the target it waits for a slot like a request."""
-CHECKS_MOST = 24
+MAX_CHECKS = 24
 """Largest number of checks in progress at once."""
 
 
@@ -75,15 +75,15 @@
         self._contact_limit_s = contact_limit_s
         self._log = log
         self._metrics = metrics
-        self._waiting: dict[str, ColdNotice] = {}
+        self._pending: dict[str, ColdNotice] = {}
         self._checks: dict[str, asyncio.Task[None]] = {}
         self._checked_at: dict[str, float] = {}
         self._random = random.Random()
-        port.receive(MessageKind.COLD_STATE, list[ColdNotice], self._receive)
+        port.register_receiver(MessageKind.COLD_STATE, list[ColdNotice], self._receive)
 
     def forget(self, target: str) -> None:
         """Drop the notice and check time of a target that was removed."""
-        self._waiting.pop(target, None)
+        self._pending.pop(target, None)
         self._checked_at.pop(target, None)
 
     async def run(self) -> None:
@@ -92,7 +92,7 @@
             while True:
                 await asyncio.sleep(PERIOD_S)
                 self._check_targets(asyncio.get_running_loop().time())
-                notices, self._waiting = list(self._waiting.values()), {}
+                notices, self._pending = list(self._pending.values()), {}
                 self._sender.send(MessageKind.COLD_STATE, notices)
         finally:
             for check in self._checks.values():
@@ -122,7 +122,7 @@
         if now - self._catalog.last_update_at <= self._contact_limit_s:
             return
         for target in self._list_due(now):
-            if len(self._checks) >= CHECKS_MOST:
+            if len(self._checks) >= MAX_CHECKS:
                 return
             self._checked_at[target.name] = now
             self._checks[target.name] = asyncio.ensure_future(self._check(target))
@@ -163,7 +163,7 @@
         self._metrics.add_health_check("unreadable" if notice is None else "ok")
         if notice is not None:
             self._apply(notice, source="health check")
-            self._waiting[notice.target] = notice
+            self._pending[notice.target] = notice
 
     def _find_health_path(self, target: Target) -> str:
         """Return the path of a target's health check; empty where its service has no cold rate."""
--- a/halldoor/gateway/datagrams.py
+++ b/halldoor/gateway/datagrams.py
@@ -33,7 +33,7 @@
     STORE_NEWS = 9
 
 
-NOTICES = frozenset(
+REGISTERED_ONLY = frozenset(
     {
         MessageKind.COLD_STATE,
         MessageKind.LIMITS,
@@ -68,7 +68,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._receivers: dict[int, tuple[Any, Receiver]] = {}
 
-    def receive(self, kind: MessageKind, message_type: Any, receiver: Receiver) -> None:
+    def register_receiver(self, kind: MessageKind, message_type: Any, receiver: Receiver) -> None:
         """Register the receiver of a kind of messages, and the type of their content."""
         self._receivers[kind] = (message_type, receiver)
 
@@ -104,7 +104,7 @@
         if receiver is None:
             self._metrics.add_message("unknown")
             return
-        if data[0] in NOTICES and not self._is_entry(Address(*addr)):
+        if data[0] in REGISTERED_ONLY and not self._is_entry(Address(*addr)):
             self._metrics.add_message("stranger")
             return
         try:
--- a/halldoor/gateway/exchanges.py
+++ b/halldoor/gateway/exchanges.py
@@ -71,7 +71,7 @@
         feedback.on_statement.append(self.limits.apply_statement)
         feedback.on_any_statement += [self.leaving.apply_statement, rests.apply_statement]
 
-    def list_tasks(self) -> list[Coroutine[Any, Any, None]]:
+    def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return the coroutines of the exchanges, each to be run until cancelled."""
         parts = (self.sharing, self.cold_state, self.limits, self.leaving)
         return [part.run() for part in parts]
--- a/halldoor/gateway/following.py
+++ b/halldoor/gateway/following.py
@@ -22,7 +22,7 @@
 from halldoor.gateway.registration import Registration
 
 
-class ChangeFollower:
+class ChangeDispatcher:
     """Dispatcher of each change that was applied to the catalog.
 
     Parameters
@@ -60,13 +60,13 @@
         self._is_stopping = is_stopping
         self._log = log
 
-    def note_change(self, change: Change) -> None:
+    def dispatch(self, change: Change) -> None:
         """Notify the components that a change concerns."""
         match change:
             case TargetSeen(record) if self._catalog.pop_restart(record.incarnation):
-                self._note_gone(record.incarnation)
+                self._dispatch_removal(record.incarnation)
             case TargetGone(incarnation) if self._catalog.find_target(incarnation) is None:
-                self._note_gone(incarnation)
+                self._dispatch_removal(incarnation)
             case EvidenceSeen(evidence):
                 self._quarantine.apply_stored_record(evidence)
             case EvidenceGone(digest):
@@ -75,11 +75,11 @@
                 self._quarantine.update_collectors()
             case MemberGone(name) if name == self._own_name and not self._is_stopping():
                 self._log.event("membership", "Own record is gone; writing it again.")
-                self._registration.note_gone()
+                self._registration.rewrite_record()
             case MemberGone():
                 self._quarantine.update_collectors()
 
-    def _note_gone(self, incarnation: str) -> None:
+    def _dispatch_removal(self, incarnation: str) -> None:
         """Notify the components that one incarnation of a target is gone."""
         self._feedback.forget_target(incarnation)
         self._quarantine.record_target_gone(incarnation)
--- a/halldoor/gateway/handover.py
+++ b/halldoor/gateway/handover.py
@@ -22,7 +22,7 @@
 RECORDS_PATH = "/records"
 PACKED = "packed"
 """Query field by which an entry asks for compressed records."""
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 
 
 class ReaderLostError(Exception):
@@ -33,7 +33,7 @@
     """The reader does not answer; no other request should be sent to it now."""
 
 
-class Whole(NamedTuple):
+class RecordSet(NamedTuple):
     """All records of the store, as of a revision.
 
     Attributes
@@ -55,7 +55,7 @@
     newest: int = 0
 
 
-class HandedRecords(msgspec.Struct, frozen=True):
+class RecordSetAnswer(msgspec.Struct, frozen=True):
     """Answer to a request for all records.
 
     Attributes
@@ -90,37 +90,37 @@
         self._encoded: bytes | None = None
         self._packed: bytes | None = None
 
-    def find_difference(self, whole: Whole) -> Batch[StoredItem] | None:
+    def find_difference(self, newer: RecordSet) -> Batch[StoredItem] | None:
         """Return the changes from these records to newer ones; None if they can't be compared."""
         before = self._revision
-        if before is None or self.era != whole.era or whole.revision < before:
+        if before is None or self.era != newer.era or newer.revision < before:
             return None
-        names = {item.key for item in whole.items}
+        names = {item.key for item in newer.items}
         items = [StoredItem(key, None) for key in self._records if key not in names]
-        items += [item for item in whole.items if self._records.get(item.key) != item]
-        return Batch(before, whole.revision, items, is_difference=True)
+        items += [item for item in newer.items if self._records.get(item.key) != item]
+        return Batch(before, newer.revision, items, is_difference=True)
 
-    def begin(self, whole: Whole) -> None:
+    def replace_all(self, records: RecordSet) -> None:
         """Replace all records with those of a full read."""
-        self.era, self._revision = whole.era, whole.revision
-        self._records = {item.key: item for item in whole.items}
-        self._forget_encoded()
+        self.era, self._revision = records.era, records.revision
+        self._records = {item.key: item for item in records.items}
+        self._clear_encoded()
 
-    def _forget_encoded(self) -> None:
+    def _clear_encoded(self) -> None:
         """Drop the encoded records after a change."""
         self._encoded = self._packed = None
 
-    def take(self, items: Iterable[StoredItem], revision: int) -> None:
+    def apply(self, items: Iterable[StoredItem], revision: int) -> None:
         """Apply changes up to a revision."""
         self._revision = revision
         for item in items:
-            self._forget_encoded()
+            self._clear_encoded()
             if item.value is None:
                 self._records.pop(item.key, None)
             else:
                 self._records[item.key] = item
 
-    def meets(self, wanted: WantedEra) -> bool:
+    def satisfies(self, wanted: WantedEra) -> bool:
         """Check whether these are records of the copy of the store that is asked for."""
         return self._revision is not None and wanted.is_satisfied_by(self.era)
 
@@ -132,13 +132,13 @@
         items = self._encoded
         if is_packed:
             if self._packed is None:
-                self._packed = msgspec.msgpack.encode(zlib.compress(items, PACK_LEVEL))
+                self._packed = msgspec.msgpack.encode(zlib.compress(items, COMPRESSION_LEVEL))
             items = self._packed
-        handed = HandedRecords(msgspec.Raw(items), self._revision, self.era, age_s)
-        return msgspec.msgpack.encode(handed)
+        answer = RecordSetAnswer(msgspec.Raw(items), self._revision, self.era, age_s)
+        return msgspec.msgpack.encode(answer)
 
 
-async def ask_for_whole(client: HttpClient, wanted: WantedEra, *, timeout_s: float) -> Whole:
+async def request_records(client: HttpClient, wanted: WantedEra, *, timeout_s: float) -> RecordSet:
     """Request all records from another entry.
 
     Parameters
@@ -161,14 +161,14 @@
     if answer.status != 200:
         raise ReaderLostError(f"it answered {answer.status}")
     try:
-        handed = msgspec.msgpack.decode(answer.body, type=HandedRecords)
-        items = _decode_items(handed.items)
+        records = msgspec.msgpack.decode(answer.body, type=RecordSetAnswer)
+        items = _decode_items(records.items)
     except (msgspec.DecodeError, zlib.error) as exc:
         raise ReaderLostError(f"its answer can't be read: {exc}") from exc
-    if not wanted.is_satisfied_by(handed.era):
-        raise ReaderLostError(f"its records are of copy {handed.era!r} of the store")
-    proven_at = compute_poll_proof(sent_at=sent_at, held_s=0.0, age_s=handed.age_s)
-    return Whole(items, handed.revision, handed.era, proven_at)
+    if not wanted.is_satisfied_by(records.era):
+        raise ReaderLostError(f"its records are of copy {records.era!r} of the store")
+    proven_at = compute_poll_proof(sent_at=sent_at, held_s=0.0, age_s=records.age_s)
+    return RecordSet(items, records.revision, records.era, proven_at)
 
 
 def _decode_items(data: bytes | msgspec.Raw) -> list[StoredItem]:
@@ -179,7 +179,7 @@
     return items
 
 
-def takes_packed(target: str) -> bool:
+def accepts_packed(target: str) -> bool:
     """Check whether a request for all records accepts compressed ones."""
     return dict(parse_qsl(urlsplit(target).query)).get(PACKED) == "1"
 
--- a/halldoor/gateway/leaving.py
+++ b/halldoor/gateway/leaving.py
@@ -71,7 +71,7 @@
         self._log = log
         self._metrics = metrics
         self._pending: dict[str, _Pending] = {}
-        port.receive(MessageKind.LEAVING, list[LeavingNotice], self._receive)
+        port.register_receiver(MessageKind.LEAVING, list[LeavingNotice], self._receive)
 
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
         """Mark a target as leaving if its answer says so, and queue notices to other entries."""
@@ -85,7 +85,7 @@
             return
         started_ms = target.record.started_ms
         if self._catalog.add_leaving(target.name, started_ms):
-            self._note_news(target.name, started_ms, now, now, source="answer")
+            self._record_leaving(target.name, started_ms, now, now, source="answer")
 
     async def run(self) -> None:
         """Send notices until cancelled."""
@@ -113,9 +113,11 @@
             said_at = now - notice.age_s
             until = said_at + LEAVING_NOTICE_S
             if self._catalog.add_leaving(target.name, notice.started_ms, until=until):
-                self._note_news(target.name, notice.started_ms, said_at, now, source=str(sender))
+                self._record_leaving(
+                    target.name, notice.started_ms, said_at, now, source=str(sender)
+                )
 
-    def _note_news(
+    def _record_leaving(
         self, target: str, started_ms: int, said_at: float, now: float, *, source: str
     ) -> None:
         """Log a statement that is new here, and queue it for the next messages."""
--- a/halldoor/gateway/limits.py
+++ b/halldoor/gateway/limits.py
@@ -51,7 +51,7 @@
         self._metrics = metrics
         self._queued: dict[str, LimitNotice] = {}
         self._queued_at: dict[str, float] = {}
-        port.receive(MessageKind.LIMITS, list[LimitNotice], self._receive)
+        port.register_receiver(MessageKind.LIMITS, list[LimitNotice], self._receive)
 
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
         """Apply the limit in a target's answer, or its absence, and queue a notice of it."""
--- a/halldoor/gateway/maintenance.py
+++ b/halldoor/gateway/maintenance.py
@@ -13,9 +13,9 @@
 
 TICK_S = 0.1
 """Period of the housekeeping, in seconds."""
-STALL_S = 1.0
+SUSPENSION_S = 1.0
 """Time between two ticks above which the process counts as suspended, in seconds."""
-UNREAD_S = 0.2
+BACKLOG_S = 0.2
 """Time after a suspension within which all data queued meanwhile is read, in seconds."""
 SWEEP_TICKS = 10
 """Ticks between two sweeps of idle connections."""
@@ -30,7 +30,7 @@
         Hold the records and connections that expire.
     on_change : callable
         Called with each change that the housekeeping makes in the catalog.
-    on_stall : callable
+    on_suspension : callable
         Called after the process or its host was suspended.
     """
 
@@ -40,25 +40,25 @@
         pool: TargetPool,
         *,
         on_change: Callable[[Change], None],
-        on_stall: Callable[[], None],
+        on_suspension: Callable[[], None],
         log: EventLog,
     ) -> None:
         self._catalog = catalog
         self._pool = pool
         self._on_change = on_change
-        self._on_stall = on_stall
+        self._on_suspension = on_suspension
         self._log = log
         self._ticked_at: float | None = None
-        self._woke_at = -math.inf
+        self._resumed_at = -math.inf
 
-    def has_stood_still(self) -> bool:
+    def was_suspended(self) -> bool:
         """Check whether the process was suspended just now, also before a tick detects it."""
         now = asyncio.get_running_loop().time()
-        return self._is_late(now) or now - self._woke_at < UNREAD_S
+        return self._is_late(now) or now - self._resumed_at < BACKLOG_S
 
     def _is_late(self, now: float) -> bool:
         """Check whether the next tick is later than load alone explains."""
-        return self._ticked_at is not None and now - self._ticked_at > STALL_S
+        return self._ticked_at is not None and now - self._ticked_at > SUSPENSION_S
 
     async def run(self) -> None:
         """Do the housekeeping until cancelled."""
@@ -70,8 +70,8 @@
             now = loop.time()
             if self._is_late(now):
                 self._log.event("process", "Stood still.", for_s=round(now - self._ticked_at, 2))
-                self._woke_at = now
-                self._on_stall()
+                self._resumed_at = now
+                self._on_suspension()
             self._ticked_at = now
             self._catalog.contact.record_tick(now)
             self._drop_lapsed(now)
--- a/halldoor/gateway/notices.py
+++ b/halldoor/gateway/notices.py
@@ -11,7 +11,7 @@
 from halldoor.core.targets.notice import choose_receivers
 from halldoor.gateway.datagrams import DatagramPort, MessageKind
 
-NOTICES_MOST = 16
+MAX_NOTICES = 16
 """Largest number of notices in a message, so that it fits a datagram."""
 
 
@@ -37,8 +37,8 @@
 
     def send(self, kind: MessageKind, notices: Sequence[Any]) -> None:
         """Send notices of one kind, split into as many messages as needed."""
-        for first in range(0, len(notices), NOTICES_MOST):
-            part = notices[first : first + NOTICES_MOST]
+        for first in range(0, len(notices), MAX_NOTICES):
+            part = notices[first : first + MAX_NOTICES]
             self._port.send(kind, part, *self._get_receivers())
 
     def _get_receivers(self) -> list[Address | None]:
--- a/halldoor/gateway/pages.py
+++ b/halldoor/gateway/pages.py
@@ -52,7 +52,7 @@
     targets_out: Iterable[ExcludedTarget]
 
 
-class Pages:
+class StatusPages:
     """Handlers of the ports for readiness, look-ups and metrics.
 
     Parameters
--- a/halldoor/gateway/polls.py
+++ b/halldoor/gateway/polls.py
@@ -14,7 +14,7 @@
 from halldoor.gateway.httpclient import HttpCallError, HttpClient
 from halldoor.gateway.store import Events, StoredItem
 
-PATH = "/changes"
+CHANGES_PATH = "/changes"
 OTHER_ERA = 409
 """Status that answers a poll for changes of another copy of the store."""
 
@@ -113,7 +113,7 @@
 def parse_poll(target: str) -> Poll | None:
     """Parse the target of a poll; None where it is not one."""
     parts = urlsplit(target)
-    if parts.path != PATH:
+    if parts.path != CHANGES_PATH:
         return None
     query = dict(parse_qsl(parts.query))
     try:
@@ -153,7 +153,7 @@
         query["needs_contact"] = 1
     try:
         answer = await client.call(
-            "GET", f"{PATH}?{urlencode(query)}", timeout_s=poll.wait_s + answer_s
+            "GET", f"{CHANGES_PATH}?{urlencode(query)}", timeout_s=poll.wait_s + answer_s
         )
     except HttpCallError as exc:
         raise ReaderSilentError(str(exc)) from exc
--- a/halldoor/gateway/process.py
+++ b/halldoor/gateway/process.py
@@ -23,12 +23,12 @@
 from halldoor.gateway.exchanges import TargetExchanges
 from halldoor.gateway.feedback import TargetFeedback
 from halldoor.gateway.flows import RegionFlowCounter
-from halldoor.gateway.following import ChangeFollower
+from halldoor.gateway.following import ChangeDispatcher
 from halldoor.gateway.headers import HeaderNames
 from halldoor.gateway.lookup import LookupFormat
 from halldoor.gateway.maintenance import Maintenance
 from halldoor.gateway.metrics import GatewayMetrics
-from halldoor.gateway.pages import GatewayFigures, GatewayState, Pages
+from halldoor.gateway.pages import GatewayFigures, GatewayState, StatusPages
 from halldoor.gateway.pool import TargetPool
 from halldoor.gateway.quarantine import RequestQuarantine
 from halldoor.gateway.quotas import QuotaExchange
@@ -43,7 +43,7 @@
 from halldoor.gateway.tasks import TaskSet, stop_task
 from halldoor.gateway.travel import RoundTripProbe
 
-QUIET_S = 0.3
+IDLE_S = 0.3
 """Time without requests or connections after which a stopping process exits, in seconds."""
 STOP_MARGIN_S = 0.3
 """Time before the end of the grace period at which the process exits anyway, in seconds."""
@@ -98,13 +98,13 @@
         self.maintenance = Maintenance(
             self.catalog,
             self.pool,
-            on_change=self._note_change,
-            on_stall=self._note_stall,
+            on_change=self._dispatch_change,
+            on_suspension=self._handle_suspension,
             log=self.log,
         )
-        self._pages = Pages(self._read_state, self._read_figures, lookups, self.metrics)
+        self._pages = StatusPages(self._read_state, self._read_figures, lookups, self.metrics)
         self._callers: set[CallerConnection] = set()
-        self._others: set[CallerConnection] = set()
+        self._service_connections: set[CallerConnection] = set()
         self._servers: list[asyncio.Server] = []
         self._front: asyncio.Server | None = None
         self._tasks = TaskSet(self.log)
@@ -181,7 +181,7 @@
             splitter,
             names=names,
             settings=settings.access,
-            is_confirming=lambda: self.is_confirming,
+            is_confirming=lambda: self.is_unconfirmed,
         )
         self.quotas = QuotaExchange(self.member, self.catalog, self.access, self.port, log=self.log)
 
@@ -203,7 +203,7 @@
             self.catalog,
             log=self.log,
             metrics=self.metrics,
-            on_change=self._note_change,
+            on_change=self._dispatch_change,
             feed=self.feed,
         )
         self.store_notices = StoreNoticeExchange(
@@ -211,12 +211,12 @@
             self.catalog,
             self.port,
             get_view=lambda: self.sync.view,
-            hurry=self.feed.hurry,
+            skip_pause=self.feed.skip_pause,
             renew_watch=self.sync.renew_watch,
             log=self.log,
             metrics=self.metrics,
         )
-        self.sync.on_update.append(self.store_notices.note_update)
+        self.sync.on_update.append(self.store_notices.queue_notices)
         self.registration = Registration(
             store,
             codec,
@@ -224,10 +224,10 @@
             log=self.log,
             metrics=self.metrics,
             is_loaded=self.sync.is_loaded,
-            on_contact=self._note_contact,
-            on_return=self.sync.restart,
+            on_contact=self._record_contact,
+            on_return=self.sync.restart_watch,
         )
-        self._follower = ChangeFollower(
+        self._dispatcher = ChangeDispatcher(
             settings.name,
             self.catalog,
             feedback=self.feedback,
@@ -242,19 +242,19 @@
     @property
     def is_ready(self) -> bool:
         """Check whether callers should be sent here."""
-        return self.catalog.routing is not None and not self.is_confirming and not self.is_stopping
+        return self.catalog.routing is not None and not self.is_unconfirmed and not self.is_stopping
 
     @property
-    def is_confirming(self) -> bool:
+    def is_unconfirmed(self) -> bool:
         """Check whether cached state or received data may be outdated after a suspension."""
-        return self.sync.is_confirming or self.maintenance.has_stood_still()
+        return self.sync.is_unconfirmed or self.maintenance.was_suspended()
 
     def _read_state(self) -> GatewayState:
         """Return the state that readiness checks and look-ups answer from."""
         return GatewayState(
             is_ready=self.is_ready,
             own=self.member,
-            members=() if self.is_confirming else self.catalog.members.values(),
+            members=() if self.is_unconfirmed else self.catalog.members.values(),
             lookup_ttl_s=self.settings.lookup_ttl_s,
         )
 
@@ -266,7 +266,7 @@
             "callers": len(self._callers),
             "members": len(self.catalog.members),
             "targets": len(self.catalog.list_targets()),
-            "watches_store": int(self.feed.is_direct),
+            "watches_store": int(self.feed.watches_store),
             "connections_opened": self.pool.opened,
             "connections_kept": self.pool.count_idle(),
             "configuration_version": self.catalog.configuration_version,
@@ -301,7 +301,7 @@
                 address.port,
                 handler,
                 read_limits=CallerLimits,
-                connections=self._others,
+                connections=self._service_connections,
             )
             self._servers.append(server)
         await self.port.start()
@@ -310,7 +310,7 @@
             self.maintenance.run(),
             self.travel.run(),
             self.quotas.run(),
-            *self.exchanges.list_tasks(),
+            *self.exchanges.list_coroutines(),
             self.store_notices.run(),
             self.quarantine.run(),
         )
@@ -348,7 +348,7 @@
         self.is_stopping = True
         loop = asyncio.get_running_loop()
         began = loop.time()
-        ends = began + self.settings.grace_s - STOP_MARGIN_S
+        deadline = began + self.settings.grace_s - STOP_MARGIN_S
         self.log.event("process", "Stopping.", running=self.requests.running)
         await stop_task(self._registering)
         for caller in list(self._callers):
@@ -358,17 +358,17 @@
         await asyncio.sleep(min(3 * self.settings.lookup_ttl_s, self.settings.grace_s / 2))
         if self._front is not None:
             self._front.close()
-        quiet_since = loop.time()
-        while loop.time() < ends and loop.time() - quiet_since < QUIET_S:
+        idle_since = loop.time()
+        while loop.time() < deadline and loop.time() - idle_since < IDLE_S:
             for caller in list(self._callers):
                 caller.close_if_idle()
             if self.requests.running or self._callers:
-                quiet_since = loop.time()
+                idle_since = loop.time()
             await asyncio.sleep(0.02)
         await stop_task(leaving)
-        await self._end()
+        await self._shut_down()
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         """Close the ports and stop the tasks."""
         self.log.event("process", "Stopped.", running=self.requests.running)
         for server in self._servers:
@@ -379,15 +379,15 @@
         self.port.close()
         self.log.close()
 
-    def _note_stall(self) -> None:
+    def _handle_suspension(self) -> None:
         """Read the store again and drop pooled connections: both may be outdated."""
         self.pool.close()
-        self.sync.confirm("the process stood still")
+        self.sync.invalidate("the process stood still")
 
-    def _note_contact(self) -> None:
+    def _record_contact(self) -> None:
         """Record that the store answered."""
         self.catalog.record_answer(asyncio.get_running_loop().time())
 
-    def _note_change(self, change: Change) -> None:
+    def _dispatch_change(self, change: Change) -> None:
         """Dispatch a change of the catalog to the other components."""
-        self._follower.note_change(change)
+        self._dispatcher.dispatch(change)
--- a/halldoor/gateway/quarantine.py
+++ b/halldoor/gateway/quarantine.py
@@ -31,7 +31,7 @@
 )
 from halldoor.gateway.feedback import SERVER_ERROR
 from halldoor.gateway.metrics import GatewayMetrics
-from halldoor.gateway.records import encode_evidence, name_trial
+from halldoor.gateway.records import build_trial_key, encode_evidence
 from halldoor.gateway.store import LeaseGoneError, MetadataStore, StoreError
 
 LEASE_S = 600.0
@@ -85,8 +85,10 @@
         self._lease_until = 0.0
         self._lease_era = ""
         self._due_changed = asyncio.Event()
-        port.receive(MessageKind.EVIDENCE, Evidence, self._receive_collector_evidence)
-        port.receive(MessageKind.EVIDENCE_FOR_ALL, Evidence, self._receive_broadcast_evidence)
+        port.register_receiver(MessageKind.EVIDENCE, Evidence, self._receive_collector_evidence)
+        port.register_receiver(
+            MessageKind.EVIDENCE_FOR_ALL, Evidence, self._receive_broadcast_evidence
+        )
 
     def apply_settings(self, settings: QuarantineSettings) -> None:
         """Apply changed settings and keep the evidence."""
@@ -123,7 +125,7 @@
         self._core.record_trial(digest, trial)
         try:
             lease = await self._get_lease()
-            is_own = await self._store.claim(name_trial(digest, trial), lease=lease)
+            is_own = await self._store.claim(build_trial_key(digest, trial), lease=lease)
         except StoreError as exc:
             self._metrics.add_store_call("claim", "failed")
             self._log.event(
--- a/halldoor/gateway/quotas.py
+++ b/halldoor/gateway/quotas.py
@@ -55,8 +55,8 @@
         self._members_version = -1
         self._table: object = None
         self._first_answer_at = 0.0
-        port.receive(MessageKind.QUOTA_REPORT, Report, self._receive_report)
-        port.receive(MessageKind.QUOTA_SHARES, Shares, self._receive_shares)
+        port.register_receiver(MessageKind.QUOTA_REPORT, Report, self._receive_report)
+        port.register_receiver(MessageKind.QUOTA_SHARES, Shares, self._receive_shares)
 
     async def run(self) -> None:
         """Send a report in each period while any team has a limit, until cancelled."""
--- a/halldoor/gateway/reading.py
+++ b/halldoor/gateway/reading.py
@@ -10,18 +10,18 @@
 import math
 from collections.abc import Callable
 
-from halldoor.gateway.handover import Whole
+from halldoor.gateway.handover import RecordSet
 from halldoor.gateway.metrics import GatewayMetrics
 from halldoor.gateway.store import HistoryGoneError, MetadataStore, Page, StoreError
 
-KEPT_S = 5.0
+MAX_PAGE_AGE_S = 5.0
 """Longest time that pages are kept until all are read, in seconds: later the store may have dropped
 the history since the first page."""
-LIMIT_FACTOR = 2
+TIMEOUT_FACTOR = 2
 """Factor from the time of the last page, or from its limit if it timed out, to the next limit."""
 
 
-class WholeReader:
+class RecordReader:
     """Reader of all records; a failed read resumes at the first missing page.
 
     Parameters
@@ -46,7 +46,7 @@
         self._metrics = metrics
         self._on_page = on_page
         self.limit_s = math.inf
-        self._usual_s = 0.0
+        self._adaptive_limit_s = 0.0
         self._pages: list[Page] = []
         self._era = ""
         self._began_at = 0.0
@@ -69,7 +69,7 @@
             If the store can't be read.
         """
         now = asyncio.get_running_loop().time()
-        if self._store.era != self._era or now - self._began_at > KEPT_S:
+        if self._store.era != self._era or now - self._began_at > MAX_PAGE_AGE_S:
             self.clear()
         if not self._pages:
             self._pages, self._began_at = [], now
@@ -77,7 +77,7 @@
             await self._read_page(after="")
         return self._pages[0]
 
-    async def read_rest(self) -> Whole:
+    async def read_remaining(self) -> RecordSet:
         """Read the pages after the first, and return all records.
 
         Raises
@@ -92,7 +92,7 @@
         items = [item for page in self._pages for item in page.items]
         revisions = [page.revision for page in self._pages]
         self.clear()
-        return Whole(items, min(revisions), self._era, self._began_at, newest=max(revisions))
+        return RecordSet(items, min(revisions), self._era, self._began_at, newest=max(revisions))
 
     async def _read_page(self, *, after: str) -> None:
         """Read the page after a key, and append it to the kept pages."""
@@ -122,15 +122,15 @@
             If the store can't be read, or does not answer in time.
         """
         loop = asyncio.get_running_loop()
-        limit_s = max(self.limit_s, self._usual_s)
+        limit_s = max(self.limit_s, self._adaptive_limit_s)
         sent_at = loop.time()
         try:
             async with asyncio.timeout(limit_s):
                 page = await self._store.read_range("", after=after)
         except TimeoutError as exc:
-            self._usual_s = LIMIT_FACTOR * limit_s
+            self._adaptive_limit_s = TIMEOUT_FACTOR * limit_s
             raise StoreError(
                 f"No page within {limit_s:.2f} s.", remedy="Check the store and the link to it."
             ) from exc
-        self._usual_s = LIMIT_FACTOR * (loop.time() - sent_at)
+        self._adaptive_limit_s = TIMEOUT_FACTOR * (loop.time() - sent_at)
         return page
--- a/halldoor/gateway/records.py
+++ b/halldoor/gateway/records.py
@@ -12,7 +12,7 @@
 TRIAL_PREFIX = "halldoor/trials/"
 
 
-class EndModel(msgspec.Struct, frozen=True):
+class CrashModel(msgspec.Struct, frozen=True):
     """Crash of a target while it ran a request.
 
     Attributes
@@ -33,7 +33,7 @@
 
     Attributes
     ----------
-    ends : list of EndModel
+    ends : list of CrashModel
         Crashes of targets that ran the request.
     cleared : list of str
         Targets whose crash is not blamed on the request, since a target answered it later.
@@ -41,14 +41,14 @@
         Whether a target answered the request recently.
     """
 
-    ends: list[EndModel]
+    ends: list[CrashModel]
     cleared: list[str] = []
     was_sound: bool = False
 
 
 def encode_evidence(record: EvidenceRecord) -> StoredItem:
     """Encode evidence as an item of the store."""
-    ends = [EndModel(*end) for end in record.ends]
+    ends = [CrashModel(*end) for end in record.ends]
     model = EvidenceModel(ends, list(record.cleared), record.was_sound)
     return StoredItem(EVIDENCE_PREFIX + record.digest, msgspec.json.encode(model))
 
@@ -69,6 +69,6 @@
     return EvidenceSeen(EvidenceRecord(digest, ends, tuple(model.cleared), model.was_sound))
 
 
-def name_trial(digest: str, trial: int) -> str:
+def build_trial_key(digest: str, trial: int) -> str:
     """Return the key that an entry claims before it runs a blocked request as a trial."""
     return f"{TRIAL_PREFIX}{digest}/{trial}"
--- a/halldoor/gateway/registration.py
+++ b/halldoor/gateway/registration.py
@@ -119,7 +119,7 @@
             self._on_return("the store was restored from a copy")
             raise LeaseGoneError("The store was restored.", remedy="Create another lease.")
 
-    def note_gone(self) -> None:
+    def rewrite_record(self) -> None:
         """Write this entry's record again: it was removed while the entry runs."""
         if self._is_written:
             self._is_written = False
--- a/halldoor/gateway/relay.py
+++ b/halldoor/gateway/relay.py
@@ -33,11 +33,11 @@
     RECORDS_PATH,
     ReaderLostError,
     ReaderSilentError,
+    RecordSet,
     RecordTable,
-    Whole,
-    ask_for_whole,
+    accepts_packed,
     parse_wanted_era,
-    takes_packed,
+    request_records,
 )
 from halldoor.gateway.httpclient import HttpClient
 from halldoor.gateway.metrics import GatewayMetrics
@@ -111,11 +111,11 @@
         self._no_handover_until = 0.0
         self._proven_at = -math.inf
         self._had_changes = False
-        self._is_resumed = False
+        self._has_watched = False
         self._records = RecordTable()
         self._history: ChangeHistory[StoredItem] = ChangeHistory()
-        self._has_news = asyncio.Event()
-        self._hurried = asyncio.Event()
+        self._updated = asyncio.Event()
+        self._pause_skipped = asyncio.Event()
         self.random = Random(own.name)
         self._phase = self.random.random()
         self._substitute = SubstituteReader(
@@ -128,7 +128,7 @@
         return _now() - self._catalog.store_contact_at <= self.settings.contact_limit_s
 
     @property
-    def is_direct(self) -> bool:
+    def watches_store(self) -> bool:
         """Check whether this entry watches the store."""
         return self._reader is None or _now() < self._direct_until
 
@@ -140,9 +140,9 @@
         StoreError
             If the store can't be read.
         """
-        self._choose()
-        self._hurried.clear()
-        if not self.is_direct:
+        self._select_reader()
+        self._pause_skipped.clear()
+        if not self.watches_store:
             try:
                 return await self._poll(revision)
             except ReaderLostError as exc:
@@ -159,22 +159,22 @@
 
     async def pause(self) -> None:
         """Wait after changes, so that several of them cost one call to the store."""
-        if not (self._had_changes and self.is_direct):
+        if not (self._had_changes and self.watches_store):
             return
         pause_s = self.settings.pause_s
         if not self._is_reader:
             pause_s = find_watch_slot_wait(_now(), period_s=self.batch_s, phase=self._phase)
         try:
             async with asyncio.timeout(pause_s):
-                await self._hurried.wait()
+                await self._pause_skipped.wait()
         except TimeoutError:
             return  # `skip_pause` was not called meanwhile.
 
-    def hurry(self) -> None:
+    def skip_pause(self) -> None:
         """End the pause, or skip the next one: the store holds a change that is urgent."""
-        self._hurried.set()
+        self._pause_skipped.set()
 
-    def _choose(self) -> None:
+    def _select_reader(self) -> None:
         """Choose the reader to follow, if the set of entries changed since the last call."""
         if self._members_version == self._catalog.members_version:
             return
@@ -208,12 +208,12 @@
         if not self.has_contact:
             # Returns in time to look for a substitute again.
             wait_s = min(wait_s, self.settings.direct_s)
-        if not self._is_resumed:
+        if not self._has_watched:
             wait_s = min(wait_s, self.settings.resume_s)
         sent_at = _now()
-        self._is_resumed = False
+        self._has_watched = False
         events = await self._watch_in_contact(revision, wait_s)
-        self._is_resumed = True
+        self._has_watched = True
         self._metrics.add_store_call("watch", "events" if events.items else "quiet")
         proven_at = compute_watch_proof(
             sent_at=sent_at,
@@ -247,7 +247,7 @@
         assert self._reader is not None and self._reader.relay is not None
         if self._client is None:
             self._client = self._open_client(self._reader.relay)
-        self._is_resumed = False
+        self._has_watched = False
         sent_at = _now()
         age_s = sent_at - self._proven_at
         wait_s = self.settings.find_poll_s(age_s)
@@ -263,9 +263,9 @@
         self._metrics.add_relayed(len(update.events.items), _now() - update.proven_at)
         return update
 
-    async def fetch_whole(
+    async def fetch_records(
         self, wanted: WantedEra, members: Iterable[MemberRecord] | None = None
-    ) -> Whole | None:
+    ) -> RecordSet | None:
         """Fetch all records from a reader; None where no reader exists or it can't send them.
 
         Parameters
@@ -273,8 +273,8 @@
         members : iterable of MemberRecord, optional
             The registered entries, where the catalog does not hold them yet.
         """
-        known = self._catalog.members.values() if members is None else members
-        readers = choose_readers(known, self._own.hall, self.settings)
+        candidates = self._catalog.members.values() if members is None else members
+        readers = choose_readers(candidates, self._own.hall, self.settings)
         reader = choose_reader(self._own.name, readers)
         if reader is None or reader.relay is None or _now() < self._no_handover_until:
             return None
@@ -284,8 +284,8 @@
             if members is not None or wanted.left is not None:
                 # The reader may have to read this copy of the store first.
                 timeout_s += self.settings.handover_wait_s
-            whole = await ask_for_whole(client, wanted, timeout_s=timeout_s)
-            self._check_age(whole.proven_at)
+            records = await request_records(client, wanted, timeout_s=timeout_s)
+            self._check_age(records.proven_at)
         except ReaderLostError as exc:
             self._metrics.add_relay_loss()
             cause = str(exc)
@@ -294,7 +294,7 @@
             return None
         finally:
             client.close()
-        count, age_s = len(whole.items), _now() - whole.proven_at
+        count, age_s = len(records.items), _now() - records.proven_at
         self._metrics.add_relayed(count, age_s)
         self._log.event(
             "relay",
@@ -303,7 +303,7 @@
             records=count,
             age_ms=round(age_s * 1000),
         )
-        return whole
+        return records
 
     def _check_age(self, proven_at: float) -> None:
         """Raise where a reader's state is too old to rely on."""
@@ -311,41 +311,41 @@
         if age_s > self.settings.age_limit_s:
             raise ReaderLostError(f"its state is {age_s:.2f} s old")
 
-    def begin(self, whole: Whole) -> None:
+    def reset_records(self, records: RecordSet) -> None:
         """Replace the records with those of a full read, and publish the difference to followers.
 
         If the records are of another copy of the store, followers have to fetch all of them.
         """
-        difference = self._records.find_difference(whole)
-        self._records.begin(whole)
-        self._is_resumed = True
+        difference = self._records.find_difference(records)
+        self._records.replace_all(records)
+        self._has_watched = True
         if difference is not None:
-            self._proven_at = max(self._proven_at, whole.proven_at)
+            self._proven_at = max(self._proven_at, records.proven_at)
             self._publish(difference)
             return
         self._history = ChangeHistory()
-        self._proven_at = whole.proven_at
-        self._publish(Batch(whole.revision, whole.revision, []))
+        self._proven_at = records.proven_at
+        self._publish(Batch(records.revision, records.revision, []))
 
-    def take(self, after: int, update: Update) -> None:
+    def record_update(self, after: int, update: Update) -> None:
         """Record an update that was applied, and publish it to the followers that wait."""
         events = update.events
         self._had_changes = bool(events.items)
         self._proven_at = max(self._proven_at, update.proven_at)
-        self._records.take(events.items, events.revision)
+        self._records.apply(events.items, events.revision)
         self._publish(update.to_batch(after))
 
     def _publish(self, batch: Batch[StoredItem]) -> None:
         """Add a batch to the history, and wake the polls that wait for an update."""
         self._history.add(batch)
-        self._has_news.set()
-        self._has_news = asyncio.Event()
+        self._updated.set()
+        self._updated = asyncio.Event()
 
     async def answer(self, caller: CallerConnection, head: Head) -> None:
         """Answer a follower's poll for changes, or its request for all records."""
         target = head.target.decode("latin-1")
         if target.startswith(RECORDS_PATH):
-            await self._hand_over(caller, target)
+            await self._send_records(caller, target)
             return
         poll = parse_poll(target)
         if poll is None:
@@ -356,7 +356,7 @@
             caller.send(Answer(503, []))
             return
         if poll.era == self._records.era and not self._history.has_changes_after(poll.after):
-            await self._wait_for_news(poll.wait_s)
+            await self._wait_for_update(poll.wait_s)
         batch = self._history.collect(poll.after)
         now = _now()
         held_s, contact = now - head.received_at, self._catalog.contact.get_report(now)
@@ -376,28 +376,28 @@
         )
         caller.send(Answer(200, [], msgspec.msgpack.encode(changes)))
 
-    async def _hand_over(self, caller: CallerConnection, target: str) -> None:
+    async def _send_records(self, caller: CallerConnection, target: str) -> None:
         """Send all records, once they are of the copy of the store that is asked for."""
         wanted = parse_wanted_era(target)
         if wanted is None:
             self._metrics.add_bad_poll()
             caller.send(Answer(404, []))
             return
-        ends = _now() + self.settings.handover_wait_s
-        while not self._records.meets(wanted) and _now() < ends:
-            await self._wait_for_news(ends - _now())
-        if not self._records.meets(wanted):
+        deadline = _now() + self.settings.handover_wait_s
+        while not self._records.satisfies(wanted) and _now() < deadline:
+            await self._wait_for_update(deadline - _now())
+        if not self._records.satisfies(wanted):
             caller.send(Answer(503, []))
             return
-        is_packed = takes_packed(target)
+        is_packed = accepts_packed(target)
         body = self._records.encode(_now() - self._proven_at, is_packed=is_packed)
         caller.send(Answer(200, [], body))
 
-    async def _wait_for_news(self, wait_s: float) -> None:
+    async def _wait_for_update(self, wait_s: float) -> None:
         """Wait for the next update, with or without changes, up to a limit."""
         try:
             async with asyncio.timeout(min(wait_s, self.settings.age_limit_s)):
-                await self._has_news.wait()
+                await self._updated.wait()
         except TimeoutError:
             return  # The answer carries the state's age, which the follower checks.
 
--- a/halldoor/gateway/settings.py
+++ b/halldoor/gateway/settings.py
@@ -89,7 +89,7 @@
     sharing: SharingSettings = SharingSettings()
     quarantine: QuarantineSettings = QuarantineSettings()
 
-    def use_policy(self, policy: Mapping[str, Any], *, origin: str) -> GatewaySettings:
+    def apply_policy(self, policy: Mapping[str, Any], *, origin: str) -> GatewaySettings:
         """Return these settings with those of a policy file applied.
 
         Parameters
--- a/halldoor/gateway/sharing.py
+++ b/halldoor/gateway/sharing.py
@@ -41,21 +41,21 @@
         self._settings = settings
         self._peers: list[Address | None] = []
         self._members_version = -1
-        self._waiting: list[Observation] = []
+        self._pending: list[Observation] = []
         if settings.peers:
             feedback.on_observation = self.add
-            port.receive(MessageKind.OBSERVATIONS, list[Observation], self._take)
+            port.register_receiver(MessageKind.OBSERVATIONS, list[Observation], self._receive)
 
     def add(self, observation: Observation) -> None:
         """Queue an observation for the next message; drop it where the message is full."""
-        if len(self._waiting) < self._settings.most:
-            self._waiting.append(observation)
+        if len(self._pending) < self._settings.most:
+            self._pending.append(observation)
 
     async def run(self) -> None:
         """Send the queued observations to the peers once in each period, until cancelled."""
         while True:
             await asyncio.sleep(self._settings.period_s)
-            observations, self._waiting = self._waiting, []
+            observations, self._pending = self._pending, []
             if observations:
                 self._port.send(MessageKind.OBSERVATIONS, observations, *self._get_peers())
 
@@ -68,7 +68,7 @@
             self._peers = [peer.relay for peer in peers]
         return self._peers
 
-    def _take(self, observations: list[Observation], sender: Address) -> None:
+    def _receive(self, observations: list[Observation], sender: Address) -> None:
         """Apply the observations of another entry."""
         now = asyncio.get_running_loop().time()
         for observation in observations:
--- a/halldoor/gateway/storenotices.py
+++ b/halldoor/gateway/storenotices.py
@@ -36,16 +36,16 @@
 """Shortest time between two messages, in seconds."""
 REPEAT_S = 0.2
 """Time after which a notice is sent once more, to other entries, in seconds."""
-ROUNDS = 2
+SENDS = 2
 """Times that a notice is sent."""
-BEHIND_S = 0.5
+LAG_S = 0.5
 """Time that an entry may lag behind others before it opens another watch, in seconds."""
-PAUSED_S = 2.0
+WITHDRAWAL_LAG_S = 2.0
 """The same limit after a withdrawal, in seconds; it exceeds a pause between watches plus a call,
 since a withdrawal does not end that pause."""
-PATIENCE_MOST = 8.0
+MAX_LAG_FACTOR = 8.0
 """Largest factor on both limits; the factor doubles each time that the limit passes."""
-CHECK_S = 1.0
+EXPIRY_CHECK_S = 1.0
 """Period of checking for withdrawals that no longer hold, in seconds."""
 
 
@@ -65,7 +65,7 @@
     view: StoreView
     learned_at: float
     due_at: float
-    left: int = ROUNDS
+    left: int = SENDS
 
 
 class StoreNoticeExchange:
@@ -81,7 +81,7 @@
         The socket for messages of other entries.
     get_view : callable
         Returns the view of the store up to which this entry applied changes.
-    hurry : callable
+    skip_pause : callable
         Called to end the pause before the next watch.
     renew_watch : callable
         Called with a cause to open another watch.
@@ -94,7 +94,7 @@
         port: DatagramPort,
         *,
         get_view: Callable[[], StoreView],
-        hurry: Callable[[], None],
+        skip_pause: Callable[[], None],
         renew_watch: Callable[[str], None],
         log: EventLog,
         metrics: GatewayMetrics,
@@ -103,7 +103,7 @@
         self._catalog = catalog
         self._port = port
         self._get_view = get_view
-        self._hurry = hurry
+        self._skip_pause = skip_pause
         self._renew_watch = renew_watch
         self._log = log
         self._metrics = metrics
@@ -111,12 +111,12 @@
         self._pending: dict[TargetStart | None, _Pending] = {}
         self._wake = asyncio.Event()
         self._newest = StoreView("", -1)
-        self._has_read = False
-        self._check: asyncio.TimerHandle | None = None
-        self._patience = 1.0
-        port.receive(MessageKind.STORE_NEWS, list[StoreNotice], self._receive)
+        self._has_first_update = False
+        self._lag_check: asyncio.TimerHandle | None = None
+        self._lag_factor = 1.0
+        port.register_receiver(MessageKind.STORE_NEWS, list[StoreNotice], self._receive)
 
-    def note_update(self, changes: Sequence[Change], view: StoreView) -> None:
+    def queue_notices(self, changes: Sequence[Change], view: StoreView) -> None:
         """Queue notices of the urgent changes in an update that was applied.
 
         Parameters
@@ -125,24 +125,24 @@
             View that contains the changes; that of a single page may be ahead of the own view.
         """
         now = _now()
-        self._release(now)
-        if not self._has_read:
+        self._release_withdrawn(now)
+        if not self._has_first_update:
             # Other entries already hold all that an entry reads when it starts.
-            self._has_read, self._newest = True, view
+            self._has_first_update, self._newest = True, view
             return
         for start in self._catalog.pop_withdrawn():
-            self._add(start, view, learned_at=now)
-        is_news = any(isinstance(c, RoutingSeen | EvacuationSet) for c in changes)
-        if is_news and not self._newest.has_reached(view):
+            self._queue(start, view, learned_at=now)
+        is_urgent = any(isinstance(c, RoutingSeen | EvacuationSet) for c in changes)
+        if is_urgent and not self._newest.has_reached(view):
             self._newest = view
-            self._add(None, view, learned_at=now)
+            self._queue(None, view, learned_at=now)
 
-    def _release(self, now: float) -> None:
+    def _release_withdrawn(self, now: float) -> None:
         """Return withdrawn targets to use where the withdrawal no longer holds."""
         for start in self._catalog.release_reached_withdrawals(self._get_view(), now):
             self._log.event("targets", "Withdrawal revoked.", target=start.target)
 
-    def _add(self, start: TargetStart | None, view: StoreView, *, learned_at: float) -> None:
+    def _queue(self, start: TargetStart | None, view: StoreView, *, learned_at: float) -> None:
         """Queue a notice for the next messages; without a target it is of a configuration."""
         self._pending[start] = _Pending(view, learned_at, due_at=learned_at)
         self._wake.set()
@@ -151,10 +151,10 @@
         """Send the queued notices until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(CHECK_S):
+                async with asyncio.timeout(EXPIRY_CHECK_S):
                     await self._wake.wait()
             except TimeoutError:
-                self._release(_now())
+                self._release_withdrawn(_now())
                 continue
             self._send_due(_now())
             if not self._pending:
@@ -192,7 +192,7 @@
         for start in notice.withdrawn:
             if not self._catalog.withdraw(start, view, until=now + WITHDRAWAL_NOTICE_S):
                 continue
-            self._add(start, view, learned_at=now - notice.age_s)
+            self._queue(start, view, learned_at=now - notice.age_s)
             self._log.event(
                 "targets",
                 "Withdrawn, as another entry says.",
@@ -205,35 +205,35 @@
             return
         if notice.withdrawn:
             # The withdrawal is in force already; the next watch may wait for the pause to end.
-            self._watch_lag(view, PAUSED_S)
+            self._schedule_lag_check(view, WITHDRAWAL_LAG_S)
             return
-        self._hurry()
-        self._watch_lag(view, BEHIND_S)
+        self._skip_pause()
+        self._schedule_lag_check(view, LAG_S)
         if not self._newest.has_reached(view):
             self._newest = view
-            self._add(None, view, learned_at=now - notice.age_s)
+            self._queue(None, view, learned_at=now - notice.age_s)
 
-    def _watch_lag(self, view: StoreView, limit_s: float) -> None:
+    def _schedule_lag_check(self, view: StoreView, limit_s: float) -> None:
         """Schedule a check, in about `limit_s` seconds, that the own view reached another one."""
         loop = asyncio.get_running_loop()
-        due_at = loop.time() + limit_s * self._patience
-        if self._check is not None:
-            if self._check.when() <= due_at:
+        due_at = loop.time() + limit_s * self._lag_factor
+        if self._lag_check is not None:
+            if self._lag_check.when() <= due_at:
                 return
-            self._check.cancel()
-        self._check = loop.call_at(due_at, self._check_lag, view)
+            self._lag_check.cancel()
+        self._lag_check = loop.call_at(due_at, self._check_lag, view)
 
     def _check_lag(self, view: StoreView) -> None:
         """Open another watch if the own view is still behind.
 
         Each time the limit grows: a slow store never answers watches that are cancelled too early.
         """
-        self._check = None
+        self._lag_check = None
         own = self._get_view()
         if not own.is_behind(view):
-            self._patience = max(1.0, self._patience / 2)
+            self._lag_factor = max(1.0, self._lag_factor / 2)
             return
-        self._patience = min(PATIENCE_MOST, self._patience * 2)
+        self._lag_factor = min(MAX_LAG_FACTOR, self._lag_factor * 2)
         self._metrics.add_store_call("watch", "behind")
         self._log.event("store", "Behind other entries.", own=own.revision, other=view.revision)
         self._renew_watch("other entries are ahead")
--- a/halldoor/gateway/substitute.py
+++ b/halldoor/gateway/substitute.py
@@ -24,7 +24,7 @@
 """Time for which a poll waits for changes, in seconds."""
 CANDIDATES = 4
 """Entries that are polled in parallel; the first to answer is followed."""
-ROUNDS = 3
+MAX_GROUPS = 3
 """Groups of candidates polled before the store is tried again: all of a small fleet, and enough of
 a large one to find an entry in contact unless very few are."""
 
@@ -65,16 +65,18 @@
     async def poll(self, revision: int, era: str) -> Update | None:
         """Return the changes after a revision; None where no entry in contact was found."""
         if self._client is None:
-            return await self._find(revision, era)
+            return await self._find_substitute(revision, era)
         try:
-            return await self._ask(self._client, Poll(revision, WAIT_S, era, needs_contact=True))
+            return await self._send_poll(
+                self._client, Poll(revision, WAIT_S, era, needs_contact=True)
+            )
         except (ReaderLostError, OtherEraError) as exc:
             self._metrics.add_relay_loss()
             self._log.event("relay", "Lost the substitute.", reader=self._name, cause=repr(exc))
             self.close()
             return None
 
-    async def _find(self, revision: int, era: str) -> Update | None:
+    async def _find_substitute(self, revision: int, era: str) -> Update | None:
         """Poll other entries, `CANDIDATES` at a time, and follow the first that answers."""
         members = [
             member
@@ -83,15 +85,17 @@
         ]
         self._random.shuffle(members)
         poll = Poll(revision, 0.0, era, needs_contact=True)
-        for first in range(0, min(len(members), ROUNDS * CANDIDATES), CANDIDATES):
-            update = await self._ask_all(members[first : first + CANDIDATES], poll)
+        for first in range(0, min(len(members), MAX_GROUPS * CANDIDATES), CANDIDATES):
+            update = await self._poll_candidates(members[first : first + CANDIDATES], poll)
             if update is not None:
                 return update
         return None
 
-    async def _ask_all(self, candidates: list[MemberRecord], poll: Poll) -> Update | None:
+    async def _poll_candidates(self, candidates: list[MemberRecord], poll: Poll) -> Update | None:
         """Poll some entries in parallel, and follow the first that answers."""
-        asking = [asyncio.ensure_future(self._try(member, poll)) for member in candidates]
+        asking = [
+            asyncio.ensure_future(self._poll_candidate(member, poll)) for member in candidates
+        ]
         try:
             for answer in asyncio.as_completed(asking):
                 update = await answer
@@ -102,12 +106,12 @@
                 task.cancel()
         return None
 
-    async def _try(self, member: MemberRecord, poll: Poll) -> Update | None:
+    async def _poll_candidate(self, member: MemberRecord, poll: Poll) -> Update | None:
         """Poll one entry, and follow it if no other answered before."""
         assert member.relay is not None
         client = self._open_client(member.relay)
         try:
-            update = await self._ask(client, poll)
+            update = await self._send_poll(client, poll)
         except (ReaderLostError, OtherEraError):
             client.close()
             return None
@@ -121,7 +125,7 @@
         self._log.event("relay", "Follows a substitute for the store.", reader=member.name)
         return update
 
-    async def _ask(self, client: HttpClient, poll: Poll) -> Update:
+    async def _send_poll(self, client: HttpClient, poll: Poll) -> Update:
         """Send one poll, and return its answer as an update of a substitute."""
         sent_at = asyncio.get_running_loop().time()
         update = await send_poll(
--- a/halldoor/gateway/sync.py
+++ b/halldoor/gateway/sync.py
@@ -20,10 +20,10 @@
 from halldoor.core.targets.withdrawal import StoreView
 from halldoor.gateway.backoff import Backoff
 from halldoor.gateway.eventlog import EventLog
-from halldoor.gateway.handover import Whole
+from halldoor.gateway.handover import RecordSet
 from halldoor.gateway.metrics import GatewayMetrics
 from halldoor.gateway.polls import ContactLostError, OtherEraError, Update
-from halldoor.gateway.reading import WholeReader
+from halldoor.gateway.reading import RecordReader
 from halldoor.gateway.relay import ChangeFeed
 from halldoor.gateway.store import (
     HistoryGoneError,
@@ -38,7 +38,7 @@
 """Usual pause between a change and the next watch, in seconds.  The store charges for each watch
 that returns; several changes within the pause cost one."""
 
-WITHDRAWALS_LOGGED = 100
+MAX_LOGGED_WITHDRAWALS = 100
 """Draining or removed targets that are logged one by one after a full read; others are counted."""
 
 UpdateReceiver = Callable[[Sequence[Change], StoreView], None]
@@ -88,14 +88,14 @@
         self._on_change = on_change
         self._feed = feed
         self._backoff = Backoff(feed.random)
-        self._reader = WholeReader(store, metrics=metrics, on_page=self._apply_withdrawals)
+        self._reader = RecordReader(store, metrics=metrics, on_page=self._apply_withdrawals)
         self._revision: int | None = None
         self._era = ""
         self._last_revision = 0
-        self._is_away = False
-        self.is_confirming = False
+        self._has_lost_contact = False
+        self.is_unconfirmed = False
         self.is_loaded = asyncio.Event()
-        self._watching: asyncio.Task[Update] | None = None
+        self._watch_task: asyncio.Task[Update] | None = None
 
     @property
     def era_number(self) -> int:
@@ -114,7 +114,7 @@
                 if self._era != self._store.era:
                     self._revision = None
                 if self._revision is None:
-                    self._adopt(await self._read_whole())
+                    self._apply_records(await self._read_records())
                 else:
                     await self._watch(self._revision)
                 self._backoff.reset()
@@ -126,64 +126,64 @@
                 self._backoff.reset()
                 await asyncio.sleep(self._backoff.draw_spread_s())
             except OtherEraError:
-                await self._follow_era()
+                await self._resolve_other_era()
             except ContactLostError:
-                # A suspension of the process looks the same, so `is_confirming` stays as it is.
-                self._note_lost("no answer")
+                # A suspension of the process looks the same, so `is_unconfirmed` stays as it is.
+                self._record_contact_loss("no answer")
             except StoreError as exc:
-                self._note_away(exc)
+                self._record_failed_call(exc)
                 await asyncio.sleep(self._backoff.find_pause_s())
 
-    def restart(self, cause: str) -> None:
+    def restart_watch(self, cause: str) -> None:
         """Record that contact is lost and open another watch: the current one may get no answer."""
-        self._is_away = True
+        self._has_lost_contact = True
         self.renew_watch(cause)
 
     def renew_watch(self, cause: str) -> None:
         """Cancel the current watch, which returns no changes, and open another one."""
         self._log.event("store", "Opens another watch.", cause=cause)
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
-    def confirm(self, cause: str) -> None:
+    def invalidate(self, cause: str) -> None:
         """Mark the cached state as unconfirmed, and read all records of the store again."""
-        self.is_confirming = True
+        self.is_unconfirmed = True
         self._revision = None
         self._reader.clear()
-        self.restart(cause)
+        self.restart_watch(cause)
 
-    async def _follow_era(self) -> None:
+    async def _resolve_other_era(self) -> None:
         """Switch to the copy of the store that the reader follows, or stop following the reader."""
         self._log.event("store", "The reader follows another copy of the store.")
-        whole = await self._feed.fetch_whole(WantedEra(self._store.era, self._era))
-        if whole is not None:
-            self._adopt(whole)
+        records = await self._feed.fetch_records(WantedEra(self._store.era, self._era))
+        if records is not None:
+            self._apply_records(records)
         else:
             # The store decides which copy is current; a full read follows only if it is the other.
             self._feed.leave_reader("it knows another copy of the store")
 
-    def _adopt(self, whole: Whole) -> None:
+    def _apply_records(self, records: RecordSet) -> None:
         """Replace the catalog's state with all records of the store."""
         before = self._era
-        is_restored = self.is_loaded.is_set() and before != whole.era
-        now = self._note_contact(whole.proven_at)
-        changes = [c for c in map(self._decode, whole.items) if c is not None]
+        is_restored = self.is_loaded.is_set() and before != records.era
+        now = self._record_contact(records.proven_at)
+        changes = [c for c in map(self._decode, records.items) if c is not None]
         applied = self._catalog.apply_full_read(changes, now, is_restored=is_restored)
         if is_restored:
-            self._log_era(before, whole)
-        self._store.era = self._era = whole.era
-        self._revision = self._last_revision = whole.revision
-        self._feed.begin(whole)
+            self._log_restore(before, records)
+        self._store.era = self._era = records.era
+        self._revision = self._last_revision = records.revision
+        self._feed.reset_records(records)
         self.is_loaded.set()
         self._reader.limit_s = self._feed.settings.page_limit_s
-        self._log.event("store", "Read all.", revision=whole.revision, changes=len(applied))
-        self._log_reading(applied, whole.revision)
+        self._log.event("store", "Read all.", revision=records.revision, changes=len(applied))
+        self._log_full_read(applied, records.revision)
         for change in applied:
             self._on_change(change)
-        self._catalog.contact.record_applied_until(whole.proven_at)
-        self._announce(applied, StoreView(whole.era, max(whole.revision, whole.newest)))
+        self._catalog.contact.record_applied_until(records.proven_at)
+        self._call_receivers(applied, StoreView(records.era, max(records.revision, records.newest)))
 
-    def _log_reading(self, applied: Sequence[Change], revision: int) -> None:
+    def _log_full_read(self, applied: Sequence[Change], revision: int) -> None:
         """Log the changes of a full read that explain later routing: configurations, withdrawals.
 
         Targets that were added are not logged: all are new to an entry that starts.
@@ -194,37 +194,37 @@
         self._log_withdrawals([c for c in applied if is_target_withdrawal(c)], revision)
 
     def _log_withdrawals(self, withdrawn: Sequence[Change], revision: int) -> None:
-        """Log the targets that a read took out of use, up to `WITHDRAWALS_LOGGED` of them."""
-        for change in withdrawn[:WITHDRAWALS_LOGGED]:
+        """Log the targets that a read took out of use, up to `MAX_LOGGED_WITHDRAWALS` of them."""
+        for change in withdrawn[:MAX_LOGGED_WITHDRAWALS]:
             self._log_change(change, revision)
-        if len(withdrawn) > WITHDRAWALS_LOGGED:
-            left = len(withdrawn) - WITHDRAWALS_LOGGED
+        if len(withdrawn) > MAX_LOGGED_WITHDRAWALS:
+            left = len(withdrawn) - MAX_LOGGED_WITHDRAWALS
             self._log.event("targets", "More drain or are gone.", count=left, revision=revision)
 
-    async def _read_whole(self) -> Whole:
+    async def _read_records(self) -> RecordSet:
         """Read all records: from an entry that follows the store, or page by page from the store.
 
         For an entry that starts, the first page lists the entries of its hall.  After a suspension
         an entry reads the store itself, since another entry's state may be old as well.
         """
-        if self.is_loaded.is_set() and not self.is_confirming and not self._reader.has_pages:
+        if self.is_loaded.is_set() and not self.is_unconfirmed and not self._reader.has_pages:
             left = self._era if self._era != self._store.era else None
-            whole = await self._feed.fetch_whole(WantedEra(self._store.era, left))
-            if whole is not None and not self._is_ahead_of(whole):
-                return whole
+            records = await self._feed.fetch_records(WantedEra(self._store.era, left))
+            if records is not None and not self._is_ahead_of(records):
+                return records
         page = await self._reader.read_first()
         if page.has_more and not self.is_loaded.is_set():
             seen = [c for c in map(self._decode, page.items) if isinstance(c, MemberSeen)]
             members = [change.member for change in seen]
-            whole = await self._feed.fetch_whole(WantedEra(self._store.era), members)
-            if whole is not None:
+            records = await self._feed.fetch_records(WantedEra(self._store.era), members)
+            if records is not None:
                 self._reader.clear()
-                return whole
-        return await self._reader.read_rest()
+                return records
+        return await self._reader.read_remaining()
 
-    def _is_ahead_of(self, whole: Whole) -> bool:
+    def _is_ahead_of(self, records: RecordSet) -> bool:
         """Check whether this entry applied changes that the records of its reader lack."""
-        return whole.era == self._era and whole.revision < self._last_revision
+        return records.era == self._era and records.revision < self._last_revision
 
     def _apply_withdrawals(self, page: Page, era: str) -> None:
         """Apply the withdrawals of a page before the other pages are read.
@@ -246,12 +246,12 @@
                 self._on_change(change)
         if applied:
             self._log_withdrawals(applied, page.revision)
-            self._announce(applied, StoreView(era, page.revision))
+            self._call_receivers(applied, StoreView(era, page.revision))
 
     async def _watch(self, revision: int) -> None:
         """Wait for changes and apply them."""
         task = asyncio.ensure_future(self._feed.wait(revision))
-        self._watching = task
+        self._watch_task = task
         try:
             update = await task
         except asyncio.CancelledError:
@@ -259,7 +259,7 @@
                 raise
             return
         finally:
-            self._watching = None
+            self._watch_task = None
             task.cancel()
         if not update.is_relayed:
             self._catalog.contact.record_answer(asyncio.get_running_loop().time())
@@ -267,9 +267,9 @@
             return  # The revision belongs to another copy, or a full read was requested.
         events = update.events
         if update.is_substitute:
-            now = self._note_substitute(update)
+            now = self._record_substitute(update)
         else:
-            now = self._note_contact(update.proven_at)
+            now = self._record_contact(update.proven_at)
         applied = []
         for item in events.items:
             change = self._decode(item)
@@ -280,14 +280,14 @@
         # The store's own answer includes all removals up to its return, whenever it was sent.
         self._catalog.contact.record_applied_until(update.proven_at if update.is_relayed else now)
         self._revision = self._last_revision = events.revision
-        self._feed.take(revision, update)
-        self._announce(applied, self.view)
+        self._feed.record_update(revision, update)
+        self._call_receivers(applied, self.view)
         await self._feed.pause()
 
-    def _announce(self, changes: Sequence[Change], view: StoreView) -> None:
+    def _call_receivers(self, changes: Sequence[Change], view: StoreView) -> None:
         """Call the receivers of updates."""
-        for note_update in self.on_update:
-            note_update(changes, view)
+        for receiver in self.on_update:
+            receiver(changes, view)
 
     def _decode(self, item: StoredItem) -> Change | None:
         """Decode a record; treat one that can't be decoded as removed.
@@ -301,16 +301,16 @@
             self._log.event("store", "Ignores a bad record.", key=item.key, error=str(exc))
             return self._codec.decode(StoredItem(item.key, None))
 
-    def _note_contact(self, heard_at: float) -> float:
+    def _record_contact(self, proven_at: float) -> float:
         """Record contact with the store up to a moment, and return the time of the loop's clock."""
         now = asyncio.get_running_loop().time()
-        self._catalog.record_contact(heard_at)
-        if self._is_away:
-            self._log.event("store", "Contact is restored.", store_away_ms=self._away_ms)
-        self._is_away = self.is_confirming = False
+        self._catalog.record_contact(proven_at)
+        if self._has_lost_contact:
+            self._log.event("store", "Contact is restored.", store_away_ms=self._store_away_ms)
+        self._has_lost_contact = self.is_unconfirmed = False
         return now
 
-    def _note_substitute(self, update: Update) -> float:
+    def _record_substitute(self, update: Update) -> float:
         """Record that another entry relayed changes; the store itself is still out of reach."""
         now = asyncio.get_running_loop().time()
         self._catalog.record_contact(update.proven_at)
@@ -318,34 +318,34 @@
         return now
 
     @property
-    def _away_ms(self) -> int:
+    def _store_away_ms(self) -> int:
         """How long the store has been out of reach, as far as known here, in milliseconds."""
         now = asyncio.get_running_loop().time()
         return round(self._catalog.contact.find_outage(now).length_s * 1000)
 
-    def _note_away(self, exc: StoreError) -> None:
+    def _record_failed_call(self, exc: StoreError) -> None:
         """Record that the store did not answer; the cached state is used meanwhile."""
-        self.is_confirming = False
+        self.is_unconfirmed = False
         self._metrics.add_store_call("watch", "failed")
-        self._note_lost(exc.message)
+        self._record_contact_loss(exc.message)
 
-    def _note_lost(self, cause: str) -> None:
+    def _record_contact_loss(self, cause: str) -> None:
         """Record that contact with the store is lost."""
-        if not self._is_away:
-            self._is_away = True
+        if not self._has_lost_contact:
+            self._has_lost_contact = True
             self._log.event("store", "Contact is lost.", cause=cause)
 
-    def _log_era(self, before: str, whole: Whole) -> None:
+    def _log_restore(self, before: str, records: RecordSet) -> None:
         """Log that the store was restored from a copy, and its eras and revisions."""
         self._metrics.add_store_call("range", "restored")
         self._log.event(
             "store",
             "Came back from a copy; read all again.",
             era_before=before,
-            era=whole.era,
-            problem=find_era_problem(before, whole.era),
+            era=records.era,
+            problem=find_era_problem(before, records.era),
             revision_before=self._last_revision,
-            revision=whole.revision,
+            revision=records.revision,
         )
 
     def _log_change(self, change: Change, revision: int) -> None:
@@ -372,7 +372,7 @@
                     "targets",
                     "Record lapsed; used last." if is_lapsed else "Gone.",
                     target=incarnation,
-                    store_away_ms=self._away_ms,
+                    store_away_ms=self._store_away_ms,
                     revision=revision,
                 )
             case EvacuationSet(hall, is_evacuated):
--- a/halldoor/gateway/tasks.py
+++ b/halldoor/gateway/tasks.py
@@ -17,14 +17,14 @@
         self._log = log
         self._tasks: list[asyncio.Task[None]] = []
 
-    def start(self, part: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Start a task that runs until the process stops."""
-        task = asyncio.get_running_loop().create_task(part)
-        task.add_done_callback(self._note_end)
+        task = asyncio.get_running_loop().create_task(coroutine)
+        task.add_done_callback(self._handle_finished)
         self._tasks.append(task)
         return task
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _handle_finished(self, task: asyncio.Task[None]) -> None:
         """Log a task that finished without being cancelled, and stop the event loop."""
         if task.cancelled():
             return
--- a/halldoor/standins/modelentry.py
+++ b/halldoor/standins/modelentry.py
@@ -181,13 +181,13 @@
             metrics=metrics,
             is_loaded=self.sync.is_loaded,
             on_contact=lambda: self.catalog.record_answer(asyncio.get_running_loop().time()),
-            on_return=self.sync.restart,
+            on_return=self.sync.restart_watch,
         )
         self.maintenance = Maintenance(
             self.catalog,
             TargetPool(),
             on_change=self._note_change,
-            on_stall=lambda: self.sync.confirm("the process stood still"),
+            on_suspension=lambda: self.sync.invalidate("the process stood still"),
             log=log,
         )
         notices = StoreNoticeExchange(
@@ -195,12 +195,12 @@
             self.catalog,
             self.port,
             get_view=lambda: self.sync.view,
-            hurry=self.feed.hurry,
+            skip_pause=self.feed.skip_pause,
             renew_watch=self.sync.renew_watch,
             log=log,
             metrics=metrics,
         )
-        self.sync.on_update.append(notices.note_update)
+        self.sync.on_update.append(notices.queue_notices)
         self.exchanges: list[Part] = [notices]
         self.tasks: list[asyncio.Task[None]] = []
         self._serving: set[asyncio.Task[None]] = set()
@@ -208,7 +208,7 @@
     def _note_change(self, change: Change) -> None:
         """Write the own record again where it is gone."""
         if isinstance(change, MemberGone) and change.name == self.name:
-            self.registration.note_gone()
+            self.registration.rewrite_record()
 
     def start(self) -> None:
         """Start the tasks."""
--- a/halldoor/standins/storefaults.py
+++ b/halldoor/standins/storefaults.py
@@ -164,7 +164,7 @@
         entry = scene.fleet.entries[port]
         entry.link.silence_watch()
         # So that the next measurement begins without it.
-        _later(5 * SPAN_S, entry.sync.restart, "the fault is over")
+        _later(5 * SPAN_S, entry.sync.restart_watch, "the fault is over")
 
 
 FAULTS = {
--- a/halldoor/tests/ratekit.py
+++ b/halldoor/tests/ratekit.py
@@ -124,7 +124,7 @@
         await asyncio.sleep(WORK_S)
         writer.write(self.build(request, extra=list(self.extra)))
 
-    def count_most(self, *, since, window_s):
+    def count_peak(self, *, since, window_s):
         """Return the most arrivals in any window of `window_s` seconds after a time."""
         times = [at for at, _ in self.arrivals if at >= since]
         worst = first = 0
@@ -142,7 +142,7 @@
     ----------
     statuses : list of tuple
         Time, entry and status of each answer.
-    told : list of tuple
+    refusals : list of tuple
         Time and Retry-After in seconds of each answer with status 503.
     """
 
@@ -155,7 +155,7 @@
         self.kits = []
         self.links = []
         self.statuses = []
-        self.told = []
+        self.refusals = []
         self._tasks = set()
         self._stack = contextlib.AsyncExitStack()
 
@@ -222,7 +222,7 @@
     def now(self):
         return asyncio.get_running_loop().time()
 
-    async def ask(self, *, per_s, for_s, entries=None):
+    async def send_requests(self, *, per_s, for_s, entries=None):
         """Send requests with random keys to random entries, at a rate and for a time."""
         ends = self.now() + for_s
         while self.now() < ends:
@@ -240,7 +240,7 @@
             reply = await self.kits[entry].call(key=key, extra=extra)
             self.statuses.append((self.now(), entry, reply.status))
             if reply.status == 503:
-                self.told.append((self.now(), float(reply.find(b"retry-after"))))
+                self.refusals.append((self.now(), float(reply.find(b"retry-after"))))
 
     def find_served(self, entries, *, since):
         """Return the share of requests that some entries answered with 200 after a time."""
--- a/halldoor/tests/test_drained_while_connecting.py
+++ b/halldoor/tests/test_drained_while_connecting.py
@@ -34,7 +34,7 @@
             fleet.write_target(fleet.targets[1], hall="ams-b")
             await asyncio.sleep(1.0)  # The pause after a change is over.
             delay_connections(kit)
-            asking = asyncio.ensure_future(fleet.ask(per_s=30.0, for_s=1.5))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=30.0, for_s=1.5))
             await asyncio.sleep(0.15)
             if is_evacuated:
                 fleet.store.put("evacuated/ams-a", b"")
--- a/halldoor/tests/test_examples.py
+++ b/halldoor/tests/test_examples.py
@@ -107,16 +107,16 @@
         path.write_text((EXAMPLES / "gateway-routes.yaml").read_text() + self.TEAMS % digests)
         return path
 
-    def test_they_become_part_of_the_routing(self, tmp_path):
+    def test_teams_in_file_become_part_of_routing(self, tmp_path):
         configuration = load_configuration(self.write(tmp_path, "ab" * 32, "cd" * 32))
         routing = configuration.to_model().to_routing()
         assert [team.name for team in routing.teams] == ["north", "south"]
         assert b"north" in configuration.to_records()["routing"]
 
-    def test_a_key_of_two_teams_is_an_error_that_names_both(self, tmp_path):
+    def test_key_of_two_teams_is_error_naming_both(self, tmp_path):
         with pytest.raises(SettingsError, match="north and south hold one key"):
             load_configuration(self.write(tmp_path, "ab" * 32, "ab" * 32))
 
-    def test_a_digest_that_is_none_is_an_error(self, tmp_path):
+    def test_invalid_digest_is_error(self, tmp_path):
         with pytest.raises(SettingsError, match="hexadecimal"):
             load_configuration(self.write(tmp_path, "key-itself", "cd" * 32))
--- a/halldoor/tests/test_forged_notice.py
+++ b/halldoor/tests/test_forged_notice.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("kind", FORGED)
 @pytest.mark.parametrize("source", [IP, "127.0.0.1"])
-def test_a_process_that_is_no_entry_has_requests_refused(kind, source):
+def test_notices_of_unregistered_process_are_ignored(kind, source):
     """The sender knows the targets' names and an entry's address, but isn't registered."""
 
     async def check():
@@ -53,7 +53,7 @@
     asyncio.run(check())
 
 
-def test_an_entry_whose_record_lapsed_is_still_believed():
+def test_notices_of_entry_with_lapsed_record_are_accepted():
     """It may be cut off from the store, and be the only one to see a target's statement."""
 
     async def check():
@@ -64,7 +64,7 @@
             fleet.store.remove("entries/e1")
             await fleet.kits[0].wait(lambda: "e1" not in one.catalog.members)
             leaving.extra = [(b"halldoor-leaving", b"1")]
-            await fleet.ask(per_s=60.0, for_s=1.0, entries=[1])
+            await fleet.send_requests(per_s=60.0, for_s=1.0, entries=[1])
             target = one.catalog.find_target("t0")
             await fleet.kits[0].wait(lambda: target.is_draining)
             assert other.catalog.find_target("t0").is_draining
--- a/halldoor/tests/test_gateway_program.py
+++ b/halldoor/tests/test_gateway_program.py
@@ -100,16 +100,16 @@
         await target.stop()
 
 
-def test_the_program_serves_takes_up_changes_and_stops(tmp_path):
+def test_program_serves_applies_changes_and_stops(tmp_path):
     asyncio.run(check_program(tmp_path))
 
 
-def test_the_examples_are_valid():
+def test_gateway_examples_are_valid():
     assert load_settings(EXAMPLES / "gateway.yaml", GatewayFileSettings)
     assert load_configuration(EXAMPLES / "gateway-routes.yaml").routes
 
 
-def test_a_wrong_configuration_names_the_place_and_the_remedy(tmp_path):
+def test_error_of_invalid_configuration_names_its_place(tmp_path):
     path = tmp_path / "routes.yaml"
     text = (EXAMPLES / "gateway-routes.yaml").read_text()
     path.write_text(text.replace("kind: repeatable", "kind: sometimes"))
--- a/halldoor/tests/test_handover.py
+++ b/halldoor/tests/test_handover.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from halldoor.core.targets.relay import WantedEra, choose_readers
-from halldoor.gateway.handover import RECORDS_PATH, HandedRecords, ask_for_whole
+from halldoor.gateway.handover import RECORDS_PATH, RecordSetAnswer, request_records
 from halldoor.gateway.httpclient import HttpAnswer
 from halldoor.gateway.store import StoredItem
 from halldoor.standins import storefleet, virtualtime
@@ -67,7 +67,7 @@
 
 
 class TestRestoredStore:
-    def test_only_readers_read_it_anew(self):
+    def test_only_readers_read_restored_store(self):
         async def check():
             async with open_fleet() as fleet:
                 copy = fleet.store.copy()
@@ -83,7 +83,7 @@
         virtualtime.run(check())
 
     @pytest.mark.parametrize("fault", ["dead", "cut", "silent"])
-    def test_entries_whose_reader_is_lost_read_it_themselves(self, fault):
+    def test_entries_without_reader_read_restored_store_themselves(self, fault):
         async def check():
             async with open_fleet() as fleet:
                 copy = fleet.store.copy()
@@ -103,7 +103,7 @@
 
         virtualtime.run(check())
 
-    def test_a_reader_that_stays_behind_costs_its_followers_no_readings(self):
+    def test_outdated_reader_causes_no_further_reads_by_followers(self):
         """A reader that is cut off from the store keeps the records of the older copy.
 
         Each follower that returned to it found another copy, and read all pages again: every 3.5 s.
@@ -127,7 +127,7 @@
 
 
 class TestRestoreWhileReading:
-    def test_pages_of_two_copies_are_not_put_together(self):
+    def test_pages_of_two_copies_are_not_combined(self):
         """The store is restored between two pages of one read.
 
         The entry watched from the first page's revision, a number that the restored store used
@@ -168,7 +168,7 @@
 
 
 class TestStart:
-    def test_an_entry_that_starts_reads_one_page_of_many(self):
+    def test_starting_entry_reads_only_first_page(self):
         async def check():
             async with open_fleet() as fleet:
                 reader = list_readers(fleet)[0]
@@ -185,7 +185,7 @@
         virtualtime.run(check())
 
     @pytest.mark.parametrize("answer", [HttpAnswer(200, b"rubbish"), HttpAnswer(503, b"")])
-    def test_rubbish_is_not_believed(self, answer, monkeypatch):
+    def test_invalid_answer_of_reader_is_ignored(self, answer, monkeypatch):
         async def call(self, method, target, **options):
             return answer
 
@@ -198,7 +198,7 @@
 
         virtualtime.run(check())
 
-    def test_records_on_the_way_are_compressed(self):
+    def test_transferred_records_are_compressed(self):
         """All entries of a hall fetch them at once, over links that also carry requests."""
 
         async def check():
@@ -207,17 +207,17 @@
                 client = storefleet.ModelClient(fleet, address)
                 plain = await client.call("GET", f"{RECORDS_PATH}?newest=0", timeout_s=1.0)
                 handed = fleet.handed_bytes
-                whole = await ask_for_whole(client, WantedEra("0"), timeout_s=1.0)
+                whole = await request_records(client, WantedEra("0"), timeout_s=1.0)
                 assert fleet.handed_bytes - handed < len(plain.body) / 3
                 # An entry of an earlier version requests uncompressed records.
-                old = msgspec.msgpack.decode(plain.body, type=HandedRecords)
+                old = msgspec.msgpack.decode(plain.body, type=RecordSetAnswer)
                 items = msgspec.msgpack.decode(old.items, type=list[StoredItem])
                 assert items == whole.items
 
         virtualtime.run(check())
 
     @pytest.mark.parametrize("target", ["/records", "/records?left=1", "/recordsx?newest=1"])
-    def test_what_is_no_question_for_records_is_not_found(self, target):
+    def test_invalid_record_request_gets_404(self, target):
         async def check():
             async with open_fleet(entries=2, targets=0) as fleet:
                 client = storefleet.ModelClient(fleet, storefleet.Address(storefleet.IP, 1))
@@ -231,12 +231,12 @@
 
 class TestWantedEra:
     @given(newest=ERAS, left=st.none() | ERAS, era=ERAS)
-    def test_what_was_left_is_never_taken_nor_what_is_older(self, newest, left, era):
+    def test_left_or_older_copy_is_never_accepted(self, newest, left, era):
         if WantedEra(newest, left).is_satisfied_by(era):
             assert era != left
             assert era == newest or int(era) > int(newest)
 
-    def test_a_newer_copy_than_known_is_taken(self):
+    def test_newer_copy_is_accepted(self):
         assert WantedEra("3", "3").is_satisfied_by("4")
         assert not WantedEra("3", "3").is_satisfied_by("3")
         assert not WantedEra("3").is_satisfied_by("4")
@@ -249,7 +249,7 @@
     restores=st.lists(st.floats(0.1, 3.0), min_size=1, max_size=3),
     away_s=st.sampled_from([0.0, 0.5, 2.0]),
 )
-def test_after_restores_all_hold_what_the_store_holds(kills, cuts, restores, away_s):
+def test_all_entries_hold_stored_records_after_restores(kills, cuts, restores, away_s):
     """Entries are killed and replaced, or cut off for 1.5 s, while the store is restored."""
 
     async def check():
--- a/halldoor/tests/test_leaving_statement.py
+++ b/halldoor/tests/test_leaving_statement.py
@@ -14,7 +14,7 @@
 """Time after which a leaving target gets no new requests, in seconds."""
 
 
-def say_leaving(target):
+def state_leaving(target):
     """Make a target state in each answer that it is leaving."""
     target.extra = [(b"halldoor-leaving", b"1")]
 
@@ -26,42 +26,42 @@
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
-            asking = asyncio.ensure_future(fleet.ask(per_s=150.0, for_s=6.0))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=150.0, for_s=6.0))
             await asyncio.sleep(1.0)
             fleet.cut(*range(entries), from_others=is_isolated)
             leaving = fleet.targets[0]
-            say_leaving(leaving)
+            state_leaving(leaving)
             since = fleet.now() + SPREAD_S
             await asking
-            assert leaving.count_most(since=since, window_s=60.0) == 0
+            assert leaving.count_peak(since=since, window_s=60.0) == 0
             assert fleet.find_served(range(entries), since=since) > 0.98
 
     asyncio.run(check())
 
 
-def test_entries_that_sent_a_leaving_target_nothing_learn_of_it():
+def test_entries_learn_of_leaving_target_without_own_requests():
     """Without notices they would find out by own requests, or once the target is gone."""
 
     async def check():
         async with RateFleet.open(entries=6, targets=3) as fleet:
             fleet.cut(*range(6))
             leaving = fleet.targets[0]
-            say_leaving(leaving)
-            await fleet.ask(per_s=60.0, for_s=1.0, entries=[0])
+            state_leaving(leaving)
+            await fleet.send_requests(per_s=60.0, for_s=1.0, entries=[0])
             assert {entry for _, entry in leaving.arrivals} == {"e0"}
             await asyncio.sleep(1.0)
-            await fleet.ask(per_s=100.0, for_s=1.0)
+            await fleet.send_requests(per_s=100.0, for_s=1.0)
             assert {entry for _, entry in leaving.arrivals} == {"e0"}
 
     asyncio.run(check())
 
 
-def test_where_all_targets_leave_requests_are_refused_at_once():
+def test_requests_are_refused_immediately_if_all_targets_leave():
     async def check():
         async with RateFleet.open(entries=1, targets=2) as fleet:
             for target in fleet.targets:
-                say_leaving(target)
-            await fleet.ask(per_s=60.0, for_s=0.5)
+                state_leaving(target)
+            await fleet.send_requests(per_s=60.0, for_s=0.5)
             arrived = sum(len(target.arrivals) for target in fleet.targets)
             caller = await fleet.kits[0].connect()
             began_at = fleet.now()
@@ -74,17 +74,17 @@
 
 
 @pytest.mark.parametrize("text", [b"0", b"no", b"-1", b"\xff"])
-def test_what_is_no_statement_of_leaving_is_passed_over(text):
+def test_invalid_leaving_statement_is_ignored(text):
     async def check():
         async with RateFleet.open(entries=1, targets=1) as fleet:
             fleet.targets[0].extra = [(b"halldoor-leaving", text)]
-            await fleet.ask(per_s=60.0, for_s=0.5)
+            await fleet.send_requests(per_s=60.0, for_s=0.5)
             assert {status for _, _, status in fleet.statuses} == {200}
 
     asyncio.run(check())
 
 
-def test_an_answer_of_another_incarnation_says_nothing_of_the_target():
+def test_leaving_statement_of_other_incarnation_is_ignored():
     async def check():
         async with RateFleet.open(entries=1, targets=2) as fleet:
             other = fleet.targets[0]
@@ -95,7 +95,7 @@
                 writer.write(other.build(request, status=status, is_signed=False, extra=fields))
 
             other.script = misdirect
-            await fleet.ask(per_s=60.0, for_s=0.5)
+            await fleet.send_requests(per_s=60.0, for_s=0.5)
             catalog = fleet.kits[0].gateway.catalog
             assert not catalog.add_leaving("t0", 0)
             fleet.write_target(other, started_ms=5)
@@ -117,36 +117,36 @@
     def list_usable(self, catalog):
         return {target.name for target in catalog.list_usable("deck")}
 
-    def test_a_record_does_not_take_it_back(self, catalog):
+    def test_record_does_not_revoke_leaving(self, catalog):
         catalog.apply(TargetSeen(make_target("t0")), 1.0)
         assert self.list_usable(catalog) == {"t1"}
 
-    def test_a_record_that_was_gone_does_not_take_it_back(self, catalog):
+    def test_returned_record_does_not_revoke_leaving(self, catalog):
         catalog.apply(TargetGone("t0"), 1.0)
         catalog.apply(TargetSeen(make_target("t0")), 2.0)
         assert self.list_usable(catalog) == {"t1"}
 
     @pytest.mark.parametrize("is_restored", [False, True])
-    def test_a_whole_reading_of_the_store_does_not_take_it_back(self, catalog, is_restored):
+    def test_full_read_does_not_revoke_leaving(self, catalog, is_restored):
         changes = [TargetSeen(make_target(name)) for name in ("t0", "t1")]
         catalog.apply_full_read(changes, 1.0, is_restored=is_restored)
         assert self.list_usable(catalog) == {"t1"}
 
-    def test_it_does_not_hold_for_the_next_start(self, catalog):
+    def test_leaving_does_not_apply_to_next_start(self, catalog):
         record = make_target("t0")
         catalog.apply(TargetSeen(record._replace(started_ms=5)), 1.0)
         catalog.add_leaving("t0", 5)
         catalog.apply(TargetSeen(record._replace(started_ms=7)), 2.0)
         assert self.list_usable(catalog) == {"t0", "t1"}
 
-    def test_the_record_that_goes_moves_no_key(self, catalog):
+    def test_removed_record_of_leaving_target_moves_no_key(self, catalog):
         version = catalog.version
         orders = self.list_usable(catalog)
         catalog.apply(TargetGone("t0"), 1.0)
         assert self.list_usable(catalog) == orders
         assert catalog.version > version
 
-    def test_what_another_entry_said_holds_for_a_time(self):
+    def test_notice_of_other_entry_expires(self):
         catalog = make_catalog(targets=2)
         assert catalog.add_leaving("t0", 0, until=30.0)
         assert not catalog.expire_leaving(29.0)
@@ -154,7 +154,7 @@
         assert catalog.expire_leaving(30.0) == ["t0"]
         assert self.list_usable(catalog) == {"t0", "t1"}
 
-    def test_its_own_answer_makes_what_another_entry_said_final(self):
+    def test_own_answer_makes_notice_of_other_entry_permanent(self):
         catalog = make_catalog(targets=2)
         catalog.add_leaving("t0", 0, until=30.0)
         catalog.add_leaving("t0", 0)
@@ -162,7 +162,7 @@
         assert self.list_usable(catalog) == {"t1"}
 
 
-def test_a_health_answer_says_that_a_target_leaves():
+def test_health_answer_can_state_that_target_leaves():
     """Entries without contact to the store check the health of targets in use."""
 
     async def check():
@@ -176,7 +176,7 @@
 
             leaving.script = answer
             fleet.cut(0, from_others=True)
-            asking = asyncio.ensure_future(fleet.ask(per_s=60.0, for_s=6.0))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=60.0, for_s=6.0))
             target = fleet.kits[0].gateway.catalog.find_target("t0")
             await fleet.kits[0].wait(lambda: target.is_draining)
             arrived = len(leaving.arrivals)
--- a/halldoor/tests/test_mass_lapse.py
+++ b/halldoor/tests/test_mass_lapse.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("entries", [6, 20])
-def test_entry_suspended_in_an_outage_withdraws_all_targets_everywhere(entries):
+def test_entry_suspended_in_outage_withdraws_no_target_elsewhere(entries):
     # The suspended entry had not seen the outage, and reported all targets as withdrawn.
     fewest = find_fewest_usable(entries, seed=1)
     assert {port: n for port, n in fewest.items() if n < TARGETS} == {}
--- a/halldoor/tests/test_named_limit.py
+++ b/halldoor/tests/test_named_limit.py
@@ -30,7 +30,7 @@
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
-            asking = asyncio.ensure_future(fleet.ask(per_s=100.0, for_s=10.0))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=100.0, for_s=10.0))
             await asyncio.sleep(1.0)
             if is_isolated:
                 fleet.cut(*range(entries), from_others=True)
@@ -38,7 +38,7 @@
             set_limit(limited, str(limit_per_s).encode())
             since = fleet.now() + SPREAD_S
             await asking
-            most = limited.count_most(since=since, window_s=WINDOW_S)
+            most = limited.count_peak(since=since, window_s=WINDOW_S)
             assert most <= find_allowed(limit_per_s)
             assert fleet.find_served(range(entries), since=since) > 0.98
 
@@ -51,7 +51,7 @@
 
         async def check():
             async with RateFleet.open(entries=6, targets=3) as fleet:
-                asking = asyncio.ensure_future(fleet.ask(per_s=90.0, for_s=14.0))
+                asking = asyncio.ensure_future(fleet.send_requests(per_s=90.0, for_s=14.0))
                 await asyncio.sleep(1.0)
                 limited = fleet.targets[0]
                 set_limit(limited, b"0.5")
@@ -72,7 +72,7 @@
         async def check():
             async with RateFleet.open(entries=1, targets=1) as fleet:
                 set_limit(fleet.targets[0], text)
-                await fleet.ask(per_s=60.0, for_s=1.0)
+                await fleet.send_requests(per_s=60.0, for_s=1.0)
                 assert {status for _, _, status in fleet.statuses} == {200}
                 metrics = fleet.kits[0].gateway.metrics.render().decode()
                 assert "halldoor_bad_limits" in metrics
@@ -85,7 +85,7 @@
         async with RateFleet.open(entries=2, targets=2) as fleet:
             for target in fleet.targets:
                 set_limit(target, b"4")
-            await fleet.ask(per_s=40.0, for_s=1.0)
+            await fleet.send_requests(per_s=40.0, for_s=1.0)
             caller = await fleet.kits[0].connect()
             refused = 0
             for number in range(20):
--- a/halldoor/tests/test_notices_in_release.py
+++ b/halldoor/tests/test_notices_in_release.py
@@ -74,20 +74,20 @@
     return watches, sorted(latest.values())
 
 
-def test_each_notice_ends_the_pause_of_all_entries():
+def test_notices_of_withdrawals_cause_no_extra_watches():
     # Each notice made entries read from the store what the notice contained already.
     watches, _ = play_release()
     assert watches <= ENTRIES * (TARGETS * PERIOD_S / SETTINGS.own_pause_s + 1)
 
 
 @pytest.mark.parametrize("write", [drain, configure])
-def test_watches_are_given_up_before_a_slow_store_answers_them(write):
+def test_watches_wait_long_enough_for_slow_store(write):
     # Each notice made entries replace their watch half a second later, so none was answered.
     _, latest = play_release(write, slowness=SLOW_STORE)
     assert latest[-1] <= SETTINGS.bound_s
 
 
-def test_a_configuration_is_not_passed_on_beside_a_withdrawn_target():
+def test_configuration_and_withdrawn_target_are_sent_in_separate_notices():
     # Receivers took a message with both for one that they can apply without the store.
     view, start = StoreView("1", 9), TargetStart("t0", 0)
     due = dict.fromkeys((None, start), _Pending(view, learned_at=1.0, due_at=1.0))
--- a/halldoor/tests/test_pause.py
+++ b/halldoor/tests/test_pause.py
@@ -33,11 +33,11 @@
         fleet.stop()
 
 
-def list_informed(fleet, version):
+def list_entries_with_version(fleet, version):
     return [e for e in fleet.entries.values() if e.catalog.configuration_version == version]
 
 
-def test_entries_are_not_deaf_at_once_after_a_change():
+def test_pauses_of_entries_after_a_change_do_not_coincide():
     """A change ended all watches at once, and all entries then paused for the same 1.2 s."""
 
     async def check():
@@ -47,28 +47,28 @@
             fleet.configure(3)
             # Half of the pause and a notice use up only a small part of any time bound.
             await asyncio.sleep(BATCH_S / 2)
-            assert list_informed(fleet, 3)
+            assert list_entries_with_version(fleet, 3)
             await asyncio.sleep(BATCH_S / 2 + CALL_S)
-            assert len(list_informed(fleet, 3)) == 10
+            assert len(list_entries_with_version(fleet, 3)) == 10
 
     virtualtime.run(check())
 
 
-def test_news_ends_the_pause():
+def test_skip_pause_ends_pause():
     async def check():
         async with open_fleet(entries=10) as fleet:
             fleet.configure(2)
             await fleet.wait(2)
             fleet.configure(3)
             for entry in fleet.entries.values():
-                entry.feed.hurry()
+                entry.feed.skip_pause()
             await asyncio.sleep(CALL_S)
-            assert len(list_informed(fleet, 3)) == 10
+            assert len(list_entries_with_version(fleet, 3)) == 10
 
     virtualtime.run(check())
 
 
-def test_changes_that_can_wait_cost_no_more_calls_than_one_in_a_pause():
+def test_frequent_changes_cost_one_watch_per_pause():
     async def check():
         async with open_fleet(entries=10) as fleet:
             began = asyncio.get_running_loop().time()
@@ -82,7 +82,7 @@
     virtualtime.run(check())
 
 
-def test_notices_of_targets_that_leave_cost_no_calls():
+def test_notices_of_draining_targets_cost_no_extra_watches():
     """Each notice made every entry call the store for a change that the notice contained."""
 
     async def check():
@@ -107,7 +107,7 @@
     period_s=st.floats(0.01, 10.0),
     phase=st.floats(0.0, 1.0, exclude_max=True),
 )
-def test_a_slot_comes_within_the_period(now, period_s, phase):
+def test_pause_until_slot_is_at_most_one_period(now, period_s, phase):
     pause_s = find_watch_slot_wait(now, period_s=period_s, phase=phase)
     assert 0.0 <= pause_s <= period_s
     assert find_watch_slot_wait(now, period_s=0.0, phase=phase) == 0.0
--- a/halldoor/tests/test_policy_settings.py
+++ b/halldoor/tests/test_policy_settings.py
@@ -23,7 +23,7 @@
 class TestPolicyFile:
     def test_policy_changes_only_the_settings_in_it(self):
         policy = {"choice": {"region_fill": 1}, "connections": {"reuse": "repeatable"}}
-        changed = SETTINGS.use_policy(policy, origin="p.yaml")
+        changed = SETTINGS.apply_policy(policy, origin="p.yaml")
         assert changed.choice == SETTINGS.choice._replace(region_fill=1.0)
         assert changed.connections.reuse is Reuse.REPEATABLE
         assert changed.find_changes(SETTINGS) == ["choice", "connections"]
@@ -40,13 +40,13 @@
     )
     def test_error_names_the_wrong_setting(self, policy, wanted):
         with pytest.raises(SettingsError, match=wanted):
-            SETTINGS.use_policy(policy, origin="p.yaml")
+            SETTINGS.apply_policy(policy, origin="p.yaml")
 
 
 class TestSwitches:
     @pytest.mark.parametrize("name", ["ejects_failing", "ejects_slow"])
     def test_ejections_can_be_disabled(self, name):
-        settings = SETTINGS.use_policy({"outliers": {name: False}}, origin="p.yaml")
+        settings = SETTINGS.apply_policy({"outliers": {name: False}}, origin="p.yaml")
         table = OutlierTable(settings.outliers)
         for number in range(20):
             if name == "ejects_failing":
@@ -58,5 +58,5 @@
 
     @pytest.mark.parametrize("reuse", Reuse)
     def test_uploads_never_use_a_kept_connection(self, reuse):
-        settings = SETTINGS.use_policy({"connections": {"reuse": reuse.value}}, origin="p.yaml")
+        settings = SETTINGS.apply_policy({"connections": {"reuse": reuse.value}}, origin="p.yaml")
         assert TargetPool(settings.connections).take_idle("t1", RequestKind.UPLOAD) is None
--- a/halldoor/tests/test_quick_rejections.py
+++ b/halldoor/tests/test_quick_rejections.py
@@ -23,7 +23,7 @@
 
     async def check():
         async with RateFleet.open(entries=6, targets=8) as fleet:
-            asking = asyncio.ensure_future(fleet.ask(per_s=200.0, for_s=8.0))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=200.0, for_s=8.0))
             await asyncio.sleep(1.0)
             since = fleet.now()
             for target in fleet.targets[:2]:
--- a/halldoor/tests/test_reading.py
+++ b/halldoor/tests/test_reading.py
@@ -51,7 +51,7 @@
     return entry.catalog.find_target(f"t{number:05}").is_draining
 
 
-def delay(entry):
+def delay_calls(entry):
     """Delay an entry's calls as if the store were in another region."""
     for name in ("read_range", "watch"):
         setattr(entry.link, name, make_slow(getattr(entry.link, name)))
@@ -68,7 +68,7 @@
     return wait_and_call
 
 
-def turn_away(entry, should_fail):
+def refuse_pages(entry, should_fail):
     """Make the store refuse page reads; `should_fail` decides by the key before the page."""
     read_range = entry.link.read_range
 
@@ -105,13 +105,13 @@
 
 class TestLostHistory:
     @pytest.mark.parametrize("failures", [["rest"], ["first", "rest"], ["rest", "rest"]])
-    def test_pages_before_a_failed_one_are_not_read_again(self, failures):
+    def test_pages_before_failed_page_are_not_read_again(self, failures):
         """After each refused page, all pages before it were read again."""
 
         async def check():
             async with open_fleet() as fleet:
                 (entry,) = fleet.entries.values()
-                turn_away(entry, fail_first(failures))
+                refuse_pages(entry, fail_first(failures))
                 began = asyncio.get_running_loop().time()
                 drain(fleet, TARGETS - 1)
                 await lose_history(fleet)
@@ -122,13 +122,13 @@
 
         virtualtime.run(check())
 
-    def test_a_draining_target_is_known_before_the_last_page(self):
+    def test_draining_target_is_applied_before_last_page(self):
         """Requests went on to a target on a page that was read, while the next was refused."""
 
         async def check():
             async with open_fleet() as fleet:
                 (entry,) = fleet.entries.values()
-                turn_away(entry, bool)
+                refuse_pages(entry, bool)
                 drain(fleet, 0)
                 fleet.store.remove("targets/t00001")
                 await lose_history(fleet)
@@ -139,7 +139,7 @@
 
         virtualtime.run(check())
 
-    def test_a_page_that_is_not_answered_is_asked_for_anew(self):
+    def test_unanswered_page_is_requested_again(self):
         """The unanswered call failed only after 3 s, which is the whole bound."""
 
         async def check():
@@ -163,7 +163,7 @@
 
         virtualtime.run(check())
 
-    def test_a_slow_link_brings_all_pages_in_the_end(self):
+    def test_all_pages_arrive_over_slow_link(self):
         """Each page takes longer than the time limits that the bound allows."""
 
         async def check():
@@ -187,29 +187,29 @@
 
         virtualtime.run(check())
 
-    def test_pages_of_before_a_suspension_are_not_relied_on(self):
+    def test_pages_read_before_suspension_are_dropped(self):
         async def check():
             async with open_fleet() as fleet:
                 (entry,) = fleet.entries.values()
-                turn_away(entry, fail_first(["rest"] * 3))
+                refuse_pages(entry, fail_first(["rest"] * 3))
                 fleet.configure(2)
                 await lose_history(fleet)
                 await asyncio.sleep(0.2)
-                entry.sync.confirm("the process stood still")
+                entry.sync.invalidate("the process stood still")
                 began = asyncio.get_running_loop().time()
                 await asyncio.sleep(BOUND_S)
-                assert not entry.sync.is_confirming
+                assert not entry.sync.is_unconfirmed
                 assert entry.catalog.store_contact_at >= began
 
         virtualtime.run(check())
 
-    def test_a_cut_watch_is_retried_at_once(self):
+    def test_cut_watch_is_retried_immediately(self):
         """A pause of 0.25 s after the cut came on top of the time for the read."""
 
         async def check():
             async with open_fleet() as fleet:
                 (entry,) = fleet.entries.values()
-                delay(entry)
+                delay_calls(entry)
                 drain(fleet, 0)
                 await lose_history(fleet)
                 await asyncio.sleep(RETRY_S + 2 * TRAVEL_S * (2 + PAGES) + RETRY_S)
@@ -218,12 +218,12 @@
         virtualtime.run(check())
 
 
-def test_followers_of_a_reader_with_lost_history_get_the_difference():
+def test_followers_get_difference_after_reader_loses_history():
     """They left the reader for 3 s, called the store, and each fetched half a megabyte."""
 
     async def check():
         async with open_fleet(entries=16, halls=2) as fleet:
-            readers = [entry for entry in fleet.entries.values() if entry.feed.is_direct]
+            readers = [entry for entry in fleet.entries.values() if entry.feed.watches_store]
             handed, began = fleet.handed_bytes, asyncio.get_running_loop().time()
             drain(fleet, 0)
             fleet.store.remove("targets/t00001")
@@ -231,7 +231,7 @@
             await asyncio.sleep(BOUND_S)
             for entry in fleet.entries.values():
                 assert is_draining(entry, 0)
-                assert entry.feed.is_direct == (entry in readers)
+                assert entry.feed.watches_store == (entry in readers)
             # The size of one of the 3 pages that each follower would have fetched.
             assert fleet.handed_bytes - handed < 50 * 100 * (16 - len(readers))
             calls = fleet.count_calls(began, began + BOUND_S)
@@ -244,12 +244,12 @@
     virtualtime.run(check())
 
 
-def test_records_older_than_the_own_ones_are_not_taken_over():
+def test_records_older_than_own_are_not_applied():
     """A removed target was used again for as long as the reader was behind."""
 
     async def check():
         async with open_fleet(entries=16) as fleet:
-            (reader,) = [entry for entry in fleet.entries.values() if entry.feed.is_direct]
+            (reader,) = [entry for entry in fleet.entries.values() if entry.feed.watches_store]
             reader.link.watch = hang
             follower = next(entry for entry in fleet.entries.values() if entry is not reader)
             follower.feed.leave_reader("left by the test")
@@ -270,7 +270,7 @@
 
 @pytest.mark.parametrize("refusals", [0, 1])
 @pytest.mark.parametrize(("halls", "is_silent"), [(1, False), (1, True), (4, False)])
-def test_faults_together_stay_within_the_bound(halls, is_silent, refusals):
+def test_combined_faults_stay_within_bound(halls, is_silent, refusals):
     """A silent reader, a lost history and a refused page took 2.3 s, more than the bound of 2."""
 
     async def check():
@@ -278,11 +278,11 @@
             entries = list(fleet.entries.values())
             bound_s = fleet.settings.bound_s
             for entry in entries:
-                delay(entry)
-                turn_away(entry, fail_first(["rest"] * refusals))
+                delay_calls(entry)
+                refuse_pages(entry, fail_first(["rest"] * refusals))
                 entry.feed.batch_s = fleet.settings.own_pause_s
             if is_silent:
-                (reader,) = [entry for entry in entries if entry.feed.is_direct]
+                (reader,) = [entry for entry in entries if entry.feed.watches_store]
                 reader.feed.answer = hang
                 entries.remove(reader)
             fleet.configure(2)
@@ -299,7 +299,7 @@
     await asyncio.sleep(60.0)
 
 
-def test_only_the_first_retry_is_at_once():
+def test_only_first_retry_is_immediate():
     source = Random(1)
     backoff = Backoff(source)
     first_s = backoff.find_pause_s()
--- a/halldoor/tests/test_relay.py
+++ b/halldoor/tests/test_relay.py
@@ -41,13 +41,13 @@
 
 
 class TestChoiceOfReaders:
-    def test_entries_of_a_small_hall_watch_the_store_themselves(self):
+    def test_entries_of_small_hall_watch_store_themselves(self):
         members = list_members(2 * (USUAL.least_entries - 1))
         assert choose_readers(members, "a", USUAL) == []
         assert choose_reader("e0", []) is None
 
     @given(count=st.integers(2 * USUAL.least_entries, 400))
-    def test_a_few_readers_in_each_hall_have_about_as_many_followers(self, count):
+    def test_readers_are_few_and_followers_are_balanced(self, count):
         followed = Counter()
         members = list_members(count)
         for member in members:
@@ -62,12 +62,12 @@
         assert readers <= count / USUAL.followers_per_reader + 2
         assert max(followed.values()) <= 3 * USUAL.followers_per_reader
 
-    def test_an_entry_that_passes_nothing_on_is_no_reader(self):
+    def test_entry_without_relay_address_is_no_reader(self):
         members = [m._replace(relay=None) for m in list_members(40)]
         assert choose_readers(members, "a", USUAL) == []
 
     @given(bound_s=st.floats(0.5, 10.0), age_s=st.floats(0.0, 10.0))
-    def test_a_sound_reader_proves_itself_before_its_followers_leave(self, bound_s, age_s):
+    def test_working_reader_answers_before_followers_leave(self, bound_s, age_s):
         settings = RelaySettings(bound_s=bound_s)
         quiet_s = settings.find_watch_s(is_after_changes=False)
         busy_s = settings.find_watch_s(is_after_changes=True)
@@ -79,12 +79,12 @@
 class TestBudget:
     @pytest.mark.parametrize("name", CHANGE_PATHS)
     @given(bound_s=st.floats(2.0, 10.0))
-    def test_the_parts_of_each_way_add_up_to_no_more_than_the_bound(self, name, bound_s):
+    def test_time_limits_of_each_chain_sum_to_at_most_bound(self, name, bound_s):
         """With a limit for each step alone, a lost reader plus a lost history took 2.5 s, not 2."""
         assert RelaySettings(bound_s=bound_s).budget.add_up(CHANGE_PATHS[name]) <= bound_s
 
     @given(bound_s=st.floats(0.5, 10.0), age_s=st.floats(0.0, 10.0))
-    def test_a_poll_ends_when_its_followers_knowledge_is_too_old(self, bound_s, age_s):
+    def test_poll_times_out_when_follower_state_is_too_old(self, bound_s, age_s):
         settings = RelaySettings(bound_s=bound_s)
         ends_s = age_s + settings.find_poll_s(age_s) + settings.find_answer_s(age_s)
         assert ends_s <= max(settings.age_limit_s, age_s + 2 * settings.poll_at_least_s) + 1e-9
@@ -99,7 +99,7 @@
         sizes=st.lists(st.integers(0, 3), min_size=1, max_size=20),
         at=st.integers(0, 60),
     )
-    def test_what_is_collected_holds_every_change_after_a_revision(self, sizes, at):
+    def test_collected_batch_contains_all_changes_after_revision(self, sizes, at):
         history, revision = ChangeHistory(), 0
         for size in sizes:
             items = list(range(revision + 1, revision + size + 1))
@@ -119,7 +119,7 @@
             max_size=12,
         ),
     )
-    def test_a_difference_leads_no_follower_astray(self, steps):
+    def test_difference_leads_every_follower_to_same_state(self, steps):
         """Also a follower ahead of its reader, with changes that the difference leaves out."""
         table, states = {}, [{}]
         history = ChangeHistory()
@@ -139,7 +139,7 @@
             if batch is not None:
                 assert drop_removed(state | dict(batch.items)) == drop_removed(table)
 
-    def test_a_follower_in_step_goes_on_after_a_difference(self):
+    def test_up_to_date_follower_continues_after_difference(self):
         history = ChangeHistory()
         history.add(Batch(0, 5, ["a"]))
         history.add(Batch(5, 9, ["b"], is_difference=True))
@@ -148,7 +148,7 @@
         assert history.collect(5).items == ["b"]
         assert history.collect(7) is None
 
-    def test_a_gap_begins_a_new_history(self):
+    def test_gap_starts_new_history(self):
         history = ChangeHistory()
         history.add(Batch(0, 5, ["a"]))
         history.add(Batch(9, 10, ["b"]))
@@ -161,7 +161,7 @@
 
 class TestProofs:
     @given(sent_at=delays, there_s=delays, change_s=delays, back_s=delays, wait_s=delays)
-    def test_a_watch_never_proves_more_than_the_store_knew(
+    def test_watch_proof_is_not_later_than_store_answer(
         self, sent_at, there_s, change_s, back_s, wait_s
     ):
         """With any travel time, the proof is not later than the moment the store answered."""
@@ -177,7 +177,7 @@
         assert proven <= answered + 1e-9
 
     @given(proven=delays, then_s=delays, there_s=delays, held_s=delays, back_s=delays)
-    def test_a_poll_never_proves_more_than_its_reader_knew(
+    def test_poll_proof_is_not_later_than_reader_proof(
         self, proven, then_s, there_s, held_s, back_s
     ):
         sent_at = proven + then_s
@@ -186,9 +186,7 @@
         assert dated <= proven + 1e-9
 
     @given(away_s=delays, heard_s=delays, there_s=delays, held_s=delays, back_s=delays)
-    def test_a_report_never_claims_more_contact_than_there_was(
-        self, away_s, heard_s, there_s, held_s, back_s
-    ):
+    def test_report_never_exceeds_actual_contact(self, away_s, heard_s, there_s, held_s, back_s):
         since, answered = 0.0, away_s + heard_s
         sent_at = answered - held_s - there_s
         span = compute_contact_span(
@@ -200,7 +198,7 @@
         assert since - 1e-9 <= span.since and span.until <= answered - heard_s + 1e-9
 
     @given(delays_s=st.lists(st.tuples(delays, delays), min_size=2, max_size=20))
-    def test_entries_that_follow_each_other_in_a_ring_prove_nothing_new(self, delays_s):
+    def test_entries_polling_each_other_in_a_ring_gain_no_newer_proof(self, delays_s):
         proven = now = 0.0
         for there_s, held_s in delays_s:
             age_s = now + there_s + held_s - proven
@@ -289,11 +287,11 @@
 
     @property
     def followers(self):
-        return [k for k in self.kits.values() if not k.gateway.feed.is_direct]
+        return [k for k in self.kits.values() if not k.gateway.feed.watches_store]
 
     @property
     def reader(self):
-        return next(k for k in self.kits.values() if k.gateway.feed.is_direct)
+        return next(k for k in self.kits.values() if k.gateway.feed.watches_store)
 
     async def wait(self, condition, *, limit_s=10.0):
         await next(iter(self.kits.values())).wait(condition, limit_s=limit_s)
@@ -320,7 +318,7 @@
 
         asyncio.run(run())
 
-    def test_followers_learn_of_changes_without_calls_to_the_store(self):
+    def test_followers_get_changes_without_store_calls(self):
         async def check(fleet):
             followers = fleet.followers
             before = [kit.store.watches for kit in followers]
@@ -333,14 +331,14 @@
         self.run(check)
 
     @pytest.mark.parametrize("is_replaced", [True, False])
-    def test_a_dead_readers_followers_read_the_store_at_once(self, is_replaced):
+    def test_followers_of_crashed_reader_read_store_immediately(self, is_replaced):
         """They follow another reader once the crashed one's record is gone."""
 
         async def check(fleet):
             dead = fleet.reader
             for server in dead.gateway._servers:
                 server.close()
-            for connection in list(dead.gateway._others):
+            for connection in list(dead.gateway._service_connections):
                 connection.abort()
             fleet.configure(2)
             await fleet.wait(lambda: fleet.has_version(2), limit_s=SMALL.bound_s)
@@ -352,7 +350,7 @@
         self.run(check)
 
     @pytest.mark.parametrize("fault", ["is_cut", "is_watch_stuck"])
-    def test_a_reader_that_does_not_hear_the_store_is_left_within_the_bound(self, fault):
+    def test_followers_leave_reader_without_store_contact_within_bound(self, fault):
         """Also a reader that renews its lease while its watch hangs: that proves no contact."""
 
         async def check(fleet):
@@ -365,7 +363,7 @@
 
         self.run(check)
 
-    def test_lost_history_is_read_again_by_all(self):
+    def test_all_entries_read_again_after_lost_history(self):
         async def check(fleet):
             fleet.reader.store.store.cut()
             fleet.configure(2)
@@ -378,7 +376,7 @@
         self.run(check)
 
     @pytest.mark.parametrize("target", ["/changes", "/changes?after=x&wait_ms=1", "/other?after=1"])
-    def test_what_is_no_poll_is_not_found(self, target):
+    def test_invalid_poll_gets_404(self, target):
         async def check(fleet):
             address = fleet.reader.gateway.settings.relay
             reader, writer = await asyncio.open_connection(address.ip, address.port)
--- a/halldoor/tests/test_requested_rest.py
+++ b/halldoor/tests/test_requested_rest.py
@@ -46,7 +46,7 @@
 
     async def check():
         async with RateFleet.open(entries=entries, targets=8) as fleet:
-            asking = asyncio.ensure_future(fleet.ask(per_s=200.0, for_s=8.0))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=200.0, for_s=8.0))
             await asyncio.sleep(1.0)
             resting = fleet.targets[:2]
             since = fleet.now()
@@ -66,15 +66,15 @@
 
     async def check():
         async with RateFleet.open(entries=6, targets=8) as fleet:
-            asking = asyncio.ensure_future(fleet.ask(per_s=200.0, for_s=7.0))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=200.0, for_s=7.0))
             await asyncio.sleep(1.0)
             begin = fleet.now()
             reject_with_retry_after(fleet.targets, b"3")
             await asyncio.sleep(1.5)
-            first = len(fleet.told)
+            first = len(fleet.refusals)
             await asyncio.sleep(1.0)
             stop_rejecting(fleet.targets)
-            told = fleet.told[first:]
+            told = fleet.refusals[first:]
             assert len(told) > 100
             for at, after_s in told:
                 assert at + after_s >= begin + REST_S
@@ -89,7 +89,7 @@
     async def check():
         async with RateFleet.open(entries=1, targets=1) as fleet:
             reject_with_retry_after(fleet.targets, text)
-            await fleet.ask(per_s=40.0, for_s=0.5)
+            await fleet.send_requests(per_s=40.0, for_s=0.5)
             stop_rejecting(fleet.targets)
             await asyncio.sleep(0.2)
             assert (await fleet.kits[0].call()).status == 200
--- a/halldoor/tests/test_sharing.py
+++ b/halldoor/tests/test_sharing.py
@@ -43,7 +43,7 @@
     def test_malformed_messages_are_counted_and_ignored(self):
         metrics = GatewayMetrics()
         port = DatagramPort(None, is_entry=lambda _: True, metrics=metrics)
-        port.receive(MessageKind.OBSERVATIONS, list[int], lambda *_: None)
+        port.register_receiver(MessageKind.OBSERVATIONS, list[int], lambda *_: None)
         for data in (b"", b"\x09", b"\x03", b"\x03\xff", b"\x03\x91\xa1x"):
             port.datagram_received(data, ("127.0.0.1", 1))
         text = metrics.render().decode()
--- a/halldoor/tests/test_storefleet.py
+++ b/halldoor/tests/test_storefleet.py
@@ -47,7 +47,7 @@
         async def check():
             async with open_fleet() as fleet:
                 got = []
-                fleet.entries[4].port.receive(
+                fleet.entries[4].port.register_receiver(
                     MessageKind.LEAVING,
                     list[LeavingNotice],
                     lambda message, sender: got.append((now() - began, message, sender)),
--- a/halldoor/tests/test_substitute.py
+++ b/halldoor/tests/test_substitute.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("port", range(2, ENTRIES + 1))
-def test_the_only_entry_in_contact_is_found_at_once(port):
+def test_only_entry_in_contact_is_found_by_first_poll(port):
     async def check():
         for _ in range(5):
             update = await make_reader({port}).poll(7, "")
@@ -67,5 +67,5 @@
     asyncio.run(check())
 
 
-def test_where_nobody_has_contact_there_is_none():
+def test_no_substitute_is_found_if_no_entry_has_contact():
     assert asyncio.run(make_reader(set()).poll(7, "")) is None
--- a/halldoor/tests/test_suspension.py
+++ b/halldoor/tests/test_suspension.py
@@ -243,7 +243,7 @@
 
 def uses_cached_state(entry):
     """Check whether an entry reports ready and answers look-ups from its cached state."""
-    is_confirming = entry.sync.is_confirming or entry.maintenance.has_stood_still()
+    is_confirming = entry.sync.is_unconfirmed or entry.maintenance.was_suspended()
     return entry.catalog.routing is not None and not is_confirming
 
 
--- a/halldoor/tests/test_withdrawals.py
+++ b/halldoor/tests/test_withdrawals.py
@@ -14,7 +14,7 @@
 from halldoor.core.settings import Address
 from halldoor.core.targets.catalog import CatalogTimings
 from halldoor.gateway.plain import TargetModel
-from halldoor.gateway.sync import WITHDRAWALS_LOGGED
+from halldoor.gateway.sync import MAX_LOGGED_WITHDRAWALS
 from halldoor.standins import virtualtime
 from halldoor.standins.storefleet import IP, StoreFleet
 
@@ -47,7 +47,7 @@
 
 
 class TestWithdrawals:
-    def test_entries_with_clocks_of_their_own_are_compared(self):
+    def test_entries_with_different_clocks_are_compared(self):
         (found,) = list_withdrawals(
             make_line("e2", 5.10, "targets: Draining.", target="t1", revision=7),
             make_line("e1", 5.35, "targets: Draining.", target="t1", revision=7),
@@ -62,7 +62,7 @@
         assert found.last.after_s == pytest.approx(2.44)
         assert found.last.own_s == pytest.approx(-0.06)
 
-    def test_lines_that_were_collected_together_begin_with_one_time(self):
+    def test_line_without_collection_time_does_not_shift_its_entry(self):
         """A line that only continues a batch has no time; it shifted its entry's later lines."""
         at, started = make_line("e1", 4.0, "process: Started.")
         (found,) = list_withdrawals(
@@ -73,7 +73,7 @@
         )
         assert (found.first_entry, found.delays_s) == ("e2", (pytest.approx(0.2),))
 
-    def test_an_entry_that_reads_all_again_knows(self):
+    def test_full_read_counts_as_learning_of_withdrawal(self):
         read = make_line("e1", 7.0, "store: Read all.", revision=8)
         old = make_line("e3", 7.0, "store: Read all.", revision=6)
         drained = make_line("e2", 5.0, "targets: Draining.", target="t1", revision=7)
@@ -81,7 +81,7 @@
         assert found.delays_s == pytest.approx([2.0])
         assert (found.unaware, found.last) == (1, None)
 
-    def test_a_lost_line_is_no_late_news(self):
+    def test_lost_line_does_not_count_as_delay(self):
         """Lost log lines made entries seem to learn of a drain only when the target was gone."""
         (found,) = list_withdrawals(
             make_line("e2", 5.0, "targets: Draining.", target="t1", revision=9),
@@ -92,7 +92,7 @@
         )
         assert (found.target, found.delays_s) == ("t1", pytest.approx((0.1, 0.4)))
 
-    def test_only_the_attempt_at_the_target_counts(self):
+    def test_only_attempt_at_withdrawn_target_counts(self):
         (found,) = list_withdrawals(
             make_line("e2", 5.0, "targets: Gone.", target="t1", revision=7),
             make_request(
@@ -106,7 +106,7 @@
         )
         assert found.last == SentRequest("e1", pytest.approx(1.5), None)
 
-    def test_a_target_that_is_back_is_no_longer_withdrawn(self):
+    def test_returned_target_is_no_longer_withdrawn(self):
         gone = make_line("e2", 5.0, "targets: Gone.", target="t1", revision=7)
         back = make_line("e2", 6.0, "targets: Seen.", target="t1", revision=9)
         again = make_line("e1", 20.0, "targets: Draining.", target="t1", revision=11)
@@ -117,21 +117,21 @@
         assert late_one.at_s == pytest.approx(20.0)
         assert late_one.last == SentRequest("e2", pytest.approx(1.9), None)
 
-    def test_an_older_line_of_an_entry_that_lags_changes_nothing(self):
+    def test_older_line_of_lagging_entry_is_ignored(self):
         drained = make_line("e2", 5.0, "targets: Draining.", target="t1", revision=7)
         seen = make_line("e1", 5.5, "targets: Seen.", target="t1", revision=6)
         request = make_request("e1", 7.0, ("t1", "answered", 500, 0))
         (found,) = list_withdrawals(drained, seen, request)
         assert found.last is not None and found.last.after_s == pytest.approx(1.5)
 
-    def test_an_entry_that_started_later_is_not_awaited(self):
+    def test_entry_started_later_has_no_delay(self):
         lines = [make_line("e2", 5.0, "targets: Draining.", target="t1", revision=7)]
         lines += [make_line(e, 6.0, "process: Started.") for e in ("e1", "e3")]
         lines += [make_line("e1", 6.5, "store: Read all.", revision=8)]
         (found,) = list_withdrawals(*lines)
         assert (found.delays_s, found.unaware) == ((), 2)
 
-    def test_an_entry_that_others_notified_knows(self):
+    def test_notice_of_other_entry_counts_as_learning_of_withdrawal(self):
         text = "targets: Withdrawn, as another entry says."
         (found,) = list_withdrawals(
             make_line("e2", 5.0, "targets: Draining.", target="t1", revision=7),
@@ -140,7 +140,7 @@
         )
         assert found.delays_s == (pytest.approx(0.3),)
 
-    def test_the_latest_are_written(self):
+    def test_report_lists_latest_entries(self):
         told = describe_report(
             build(
                 make_line("e2", 5.10, "targets: Draining.", target="t1", revision=7),
@@ -172,8 +172,8 @@
     return [entry.events.counts for entry in fleet.entries.values()]
 
 
-class TestWholeReading:
-    def test_withdrawals_found_in_it_are_logged(self):
+class TestFullRead:
+    def test_withdrawals_found_by_full_read_are_logged(self):
         """The log did not show when an entry learned of withdrawals by a full read."""
 
         def change(fleet):
@@ -188,7 +188,7 @@
 
         virtualtime.run(check())
 
-    def test_a_removal_that_is_taken_for_a_lapse_is_logged_as_such(self):
+    def test_removal_taken_for_lapse_is_logged_as_lapse(self):
         """The log did not distinguish a target kept after a lapse from one no longer used."""
 
         async def check():
@@ -214,14 +214,14 @@
 
         virtualtime.run(check())
 
-    def test_lines_are_bounded(self):
+    def test_number_of_logged_withdrawals_is_bounded(self):
         def change(fleet):
             for key in fleet.store.list_keys("targets/"):
                 fleet.store.remove(key)
 
         async def check():
-            for counts in await lose_history(change, targets=WITHDRAWALS_LOGGED + 20):
-                assert counts["targets: Gone."] == WITHDRAWALS_LOGGED
+            for counts in await lose_history(change, targets=MAX_LOGGED_WITHDRAWALS + 20):
+                assert counts["targets: Gone."] == MAX_LOGGED_WITHDRAWALS
                 assert counts["targets: More drain or are gone."] == 1
 
         virtualtime.run(check())
--- a/halldoor/tests/test_withdrawn_during_gap.py
+++ b/halldoor/tests/test_withdrawn_during_gap.py
@@ -67,7 +67,7 @@
 
 
 @contextlib.contextmanager
-def call(entry):
+def send_requests(entry):
     """Send requests to an entry until the block is left."""
     callers = Callers(entry)
     task = asyncio.ensure_future(callers.run())
@@ -85,12 +85,12 @@
         raise StoreError("The store answered 429.", remedy="Wait.")
 
     link.watch = fail
-    entry.sync._watching.cancel()
+    entry.sync._watch_task.cancel()
     await asyncio.sleep(for_s)
     link.watch = watch
 
 
-def list_by_part(fleet):
+def split_by_role(fleet):
     """Return the readers, and the other entries."""
     entries = list(fleet.entries.values())
     members = entries[0].catalog.members.values()
@@ -108,11 +108,11 @@
 
 class TestStoreInReach:
     @pytest.mark.parametrize("has_history", [True, False])
-    def test_after_a_cut_watch_a_withdrawn_target_gets_nothing(self, has_history):
+    def test_withdrawn_target_gets_no_requests_after_cut_watch(self, has_history):
         async def check():
             async with open_fleet(entries=1) as fleet:
                 (entry,) = fleet.entries.values()
-                with call(entry) as callers:
+                with send_requests(entry) as callers:
                     cutting = asyncio.ensure_future(cut_watches(entry, 1.5))
                     await asyncio.sleep(0.5)
                     removed_at = asyncio.get_running_loop().time()
@@ -126,11 +126,11 @@
 
         virtualtime.run(check())
 
-    def test_followers_of_a_reader_that_was_away_send_nothing_to_a_withdrawn_target(self):
+    def test_followers_of_cut_off_reader_send_nothing_to_withdrawn_target(self):
         async def check():
             async with open_fleet(entries=9) as fleet:
-                (reader,), followers = list_by_part(fleet)
-                with call(followers[0]) as callers:
+                (reader,), followers = split_by_role(fleet)
+                with send_requests(followers[0]) as callers:
                     cutting = asyncio.ensure_future(cut_watches(reader, 0.2))
                     await asyncio.sleep(0.1)
                     removed_at = asyncio.get_running_loop().time()
@@ -143,10 +143,10 @@
         virtualtime.run(check())
 
     @pytest.mark.parametrize("entries", [2, 9])
-    def test_an_entry_that_was_cut_off_learns_from_others_that_the_store_was_there(self, entries):
+    def test_cut_off_entry_learns_from_others_that_store_was_available(self, entries):
         async def check():
             async with open_fleet(entries=entries) as fleet:
-                with call(fleet.entries[1]) as callers:
+                with send_requests(fleet.entries[1]) as callers:
                     fleet.cut(1, 5.0)
                     await asyncio.sleep(1.0)
                     removed_at = asyncio.get_running_loop().time()
@@ -157,12 +157,12 @@
 
         virtualtime.run(check())
 
-    def test_an_entry_in_contact_that_has_no_changes_to_give_says_that_the_store_was_there(self):
+    def test_entry_without_history_still_reports_its_store_contact(self):
         async def check():
             async with open_fleet(entries=2) as fleet:
                 entry = fleet.entries[1]
                 fleet.cut(1, 5.0)
-                entry.sync.restart("the link is cut")
+                entry.sync.restart_watch("the link is cut")
                 await asyncio.sleep(0.1)
                 fleet.store.remove(f"targets/{WITHDRAWN}")
                 fleet.store.forget_history()
@@ -178,7 +178,7 @@
 
         virtualtime.run(check())
 
-    def test_a_time_in_which_the_process_stood_still_is_none_of_the_store(self):
+    def test_suspension_does_not_count_as_store_outage(self):
         async def check():
             async with open_fleet(entries=1) as fleet:
                 (entry,) = fleet.entries.values()
@@ -196,12 +196,12 @@
 
     @pytest.mark.parametrize("entries", [1, 2, 9])
     @pytest.mark.parametrize("has_history", [True, False])
-    def test_no_entry_drops_targets_whose_records_come_back(self, entries, has_history):
+    def test_targets_whose_records_come_back_are_kept(self, entries, has_history):
         async def check():
             async with open_fleet(entries=entries) as fleet:
                 fleet.store.cut()
                 await asyncio.sleep(OUTAGE_S - 0.1)
-                lose_records(fleet)
+                remove_records(fleet)
                 if not has_history:
                     fleet.store.forget_history()
                 await asyncio.sleep(0.1)
@@ -215,13 +215,13 @@
         virtualtime.run(check())
 
     @pytest.mark.parametrize("entries", [1, 2, 9])
-    def test_a_record_that_stays_away_is_dropped_in_time_after_the_stores_return(self, entries):
+    def test_missing_record_is_dropped_in_time_after_store_return(self, entries):
         async def check():
             async with open_fleet(entries=entries) as fleet:
-                with call(fleet.entries[1]) as callers:
+                with send_requests(fleet.entries[1]) as callers:
                     fleet.store.cut()
                     await asyncio.sleep(OUTAGE_S)
-                    lose_records(fleet)
+                    remove_records(fleet)
                     fleet.store.is_down = False
                     back_at = asyncio.get_running_loop().time()
                     await asyncio.sleep(5.0)
@@ -235,7 +235,7 @@
 
         virtualtime.run(check())
 
-    def test_a_removal_after_the_return_is_meant(self):
+    def test_removal_after_store_return_is_applied(self):
         async def check():
             async with open_fleet(entries=1) as fleet:
                 (entry,) = fleet.entries.values()
@@ -251,10 +251,10 @@
 
         virtualtime.run(check())
 
-    def test_an_outage_shorter_than_a_records_life_explains_no_removal(self):
+    def test_removal_in_short_outage_is_applied(self):
         async def check():
             async with open_fleet(entries=1) as fleet:
-                with call(fleet.entries[1]) as callers:
+                with send_requests(fleet.entries[1]) as callers:
                     fleet.store.cut()
                     await asyncio.sleep(2.3)
                     fleet.store.remove(f"targets/{WITHDRAWN}")
@@ -266,7 +266,7 @@
 
         virtualtime.run(check())
 
-    def test_a_return_too_short_for_targets_to_write_ends_no_absence(self):
+    def test_short_store_return_does_not_end_outage(self):
         async def check():
             async with open_fleet(entries=2) as fleet:
                 fleet.store.cut()
@@ -275,14 +275,14 @@
                 await asyncio.sleep(0.5)
                 fleet.store.cut()
                 await asyncio.sleep(2.5)
-                lose_records(fleet)
+                remove_records(fleet)
                 fleet.store.is_down = False
                 await sleep_and_count_targets(fleet, 1.0, least=2)
 
         virtualtime.run(check())
 
 
-def lose_records(fleet):
+def remove_records(fleet):
     for name in (WITHDRAWN, OTHER):
         fleet.store.remove(f"targets/{name}")
 
--- a/halldoor/tests/test_withdrawn_target.py
+++ b/halldoor/tests/test_withdrawn_target.py
@@ -45,7 +45,7 @@
 
     async def check():
         async with RateFleet.open(entries=entries, targets=3) as fleet:
-            asking = asyncio.ensure_future(fleet.ask(per_s=150.0, for_s=5.0))
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=150.0, for_s=5.0))
             await asyncio.sleep(0.5)
             silence_watches(fleet, range(1, entries))
             for kit in fleet.kits[1:]:
@@ -58,7 +58,7 @@
                 fleet.write_target(leaving, is_draining=True)
             since = fleet.now() + SPREAD_S
             await asking
-            assert leaving.count_most(since=since, window_s=60.0) == 0
+            assert leaving.count_peak(since=since, window_s=60.0) == 0
             assert fleet.find_served(range(entries), since=since) > 0.98
 
     asyncio.run(check())
--- a/properties/test_lapses.py
+++ b/properties/test_lapses.py
@@ -15,12 +15,12 @@
 TICK_S = 0.1
 AWAY_FROM_S = 20.0
 LENGTH_S = 40.0
-SHORT_S = 1.4
+SHORT_CUT_S = 1.4
 """Length of a cut, in s, below a record's lifetime less one missed renewal before and after."""
 moments = st.floats(0.0, LENGTH_S)
 
 
-def play(spans):
+def apply_spans(spans):
     """Apply spans of contact at their times, with ticks between, and yield each state."""
     contact, now = StoreContact(), 0.0
     for at, span in sorted(spans, key=lambda s: s[0]):
@@ -37,9 +37,7 @@
     answers=st.lists(moments, max_size=30),
     reports=st.lists(st.tuples(moments, st.floats(0.0, 30.0), st.floats(0.0, 3.0)), max_size=30),
 )
-def test_an_absence_of_the_store_is_found_and_never_ends_before_its_return(
-    away_s, answers, reports
-):
+def test_store_outage_is_detected_and_never_ends_before_store_return(away_s, answers, reports):
     """Holds for any contact of this entry and others, while records may be written again."""
     back_at = AWAY_FROM_S + away_s
     spans = [(at, ContactSpan(at, at)) for at in (0.0, *answers, back_at, LENGTH_S)]
@@ -48,7 +46,7 @@
         # Other entries may report any span in which the store was available throughout.
         spans.append((at, ContactSpan(max(0.0, until - since_s), until)))
     sound = [(at, span) for at, span in spans if span.until <= AWAY_FROM_S or span.since >= back_at]
-    for now, contact in play(sound):
+    for now, contact in apply_spans(sound):
         if back_at <= now <= back_at + CatalogTimings().settle_s:
             absence = contact.outage
             assert absence is not None and absence.length_s >= away_s - 1e-6
@@ -61,16 +59,14 @@
     period_s=st.floats(0.1, 1.5),
     age_s=st.floats(0.0, 1.0),
 )
-def test_an_entry_that_hears_another_in_contact_finds_no_absence(
-    answers, cut_from, period_s, age_s
-):
+def test_entry_polling_another_in_contact_detects_no_outage(answers, cut_from, period_s, age_s):
     """It polls an entry that is always in contact, from its own first answer on."""
     spans = [(at, ContactSpan(at, at)) for at in (0.0, *answers, cut_from)]
     at = min(a for a in (0.0, *answers, cut_from))
     while at < LENGTH_S:
         spans.append((at, ContactSpan(0.0, at - age_s)))
         at += period_s
-    for _, contact in play(spans):
+    for _, contact in apply_spans(spans):
         absence = contact.outage
         assert absence is None or absence.length_s < CatalogTimings().lapse_s
 
@@ -87,11 +83,11 @@
     faults=st.one_of(
         st.tuples(list_cuts(6.0), st.just([])),
         # Without the store's history an entry can only read the store itself.
-        st.tuples(list_cuts(SHORT_S), st.lists(st.floats(0.0, 6.0), min_size=1, max_size=3)),
+        st.tuples(list_cuts(SHORT_CUT_S), st.lists(st.floats(0.0, 6.0), min_size=1, max_size=3)),
     ),
     removals=st.lists(st.floats(0.0, 6.0), min_size=6, max_size=12),
 )
-def test_what_the_store_removes_while_it_answers_is_never_used_again(entries, faults, removals):
+def test_record_removed_while_store_answers_is_never_used_again(entries, faults, removals):
     """Some entries are cut off for a time; after short cuts the history may be lost too."""
     cuts, losses = faults
 
