--- a/halldoor/entry/activity.py
+++ b/halldoor/entry/activity.py
@@ -5,19 +5,19 @@
 import threading
 
 
-class Activity:
+class RunningRequests:
     """Thread-safe count of running requests, from their first byte to their answer's last."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._count = 0
 
-    def begin(self) -> None:
+    def add(self) -> None:
         """Count a request as running."""
         with self._lock:
             self._count += 1
 
-    def end(self) -> None:
+    def remove(self) -> None:
         """Count a request as finished."""
         with self._lock:
             self._count -= 1
--- a/halldoor/entry/cancel.py
+++ b/halldoor/entry/cancel.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-CHECK_S = 1.0
+STOP_CHECK_PERIOD_S = 1.0
 """Seconds between checks whether the thread must stop."""
 
 
@@ -31,7 +31,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the thread within `CHECK_S`."""
+        """Stop the thread within `STOP_CHECK_PERIOD_S`."""
         self._is_stopped = True
 
     @contextmanager
@@ -47,16 +47,16 @@
         try:
             yield
         finally:
-            self._forget(number)
+            self._unwatch(number)
 
-    def _forget(self, number: int) -> None:
+    def _unwatch(self, number: int) -> None:
         """Stop watching a socket."""
         with self._lock:
             if self._watched.pop(number, None) is not None:
                 with contextlib.suppress(OSError):
                     self._epoll.unregister(number)
 
-    def _take_if_closed(self, number: int) -> Callable[[], None] | None:
+    def _pop_if_closed(self, number: int) -> Callable[[], None] | None:
         """If a socket's peer has closed it, stop watching it and return its callback.
 
         The file descriptor is polled again because, since the event, its number may have been
@@ -76,7 +76,7 @@
     def _run(self) -> None:
         """Call the callbacks of sockets whose peers have closed them."""
         while not self._is_stopped:
-            for number, _ in self._epoll.poll(CHECK_S):
-                on_close = self._take_if_closed(number)
+            for number, _ in self._epoll.poll(STOP_CHECK_PERIOD_S):
+                on_close = self._pop_if_closed(number)
                 if on_close is not None:
                     on_close()
--- a/halldoor/entry/claims.py
+++ b/halldoor/entry/claims.py
@@ -22,24 +22,24 @@
 from halldoor.entry.task import Task
 from halldoor.keyvalue.base import Platform, UncertainWriteError, WriteConflictError
 
-TRIES = 6
+MAX_WRITE_ATTEMPTS = 6
 """Attempts to write a shard that other processes write at the same time."""
-PAUSE_S = 0.3
+MAX_FAIL_FAST_S = 0.3
 """Most seconds after a slow failure in which claim requests fail at once, without waiting."""
-WAIT_S = 3.0
+REPLY_TIMEOUT_S = 3.0
 """Seconds that a request for a claim waits for its result."""
 
-Holder = Result[Claim | None, PlatformError]
+HolderResult = Result[Claim | None, PlatformError]
 
 
 class ClaimRequest(NamedTuple):
     """A request to claim one id; the result is put into its reply queue."""
 
     operation: str
-    reply: queue.SimpleQueue[Holder]
+    reply: queue.SimpleQueue[HolderResult]
 
 
-class Claims(Task[ClaimRequest]):
+class ClaimTask(Task[ClaimRequest]):
     """Claims operation ids in the platform, in batches.
 
     Requests that arrive during a write are claimed together by the next write, so writes
@@ -49,36 +49,36 @@
     ----------
     platform : Platform
         The key-value service.
-    me : Claim
+    own_claim : Claim
         The claim that names this process as the holder.
 
     Attributes
     ----------
-    on_new : callable
+    on_claimed : callable
         Called with each id that this process has just claimed, before its requesters
         receive the claim, so that its ticket exists by then.  Never called again for an id
         claimed earlier, even if its ticket has been forgotten since.
     """
 
-    def __init__(self, platform: Platform, me: Claim) -> None:
+    def __init__(self, platform: Platform, own_claim: Claim) -> None:
         super().__init__("claims", period_s=1.0)
         self._platform = platform
-        self._me = me
+        self._own_claim = own_claim
         # Shard and version after the last write; saves a read if no other process wrote since.
-        self._known: dict[int, tuple[Shard, int]] = {}
+        self._cached_shards: dict[int, tuple[Shard, int]] = {}
         # Ids whose claim may have been written although the write failed here.
-        self._uncertain: set[str] = set()
-        self.on_new: Callable[[str], None] = lambda operation: None
+        self._maybe_claimed: set[str] = set()
+        self.on_claimed: Callable[[str], None] = lambda operation: None
         self._down_until = 0.0
         self.writes = 0
         self.claimed = 0
 
-    def ask(self, operation: str) -> Holder:
+    def request_claim(self, operation: str) -> HolderResult:
         """Claim an id and return its holder; ``Failure`` if the platform fails or is slow."""
-        reply: queue.SimpleQueue[Holder] = queue.SimpleQueue()
-        self.tell(ClaimRequest(operation, reply))
+        reply: queue.SimpleQueue[HolderResult] = queue.SimpleQueue()
+        self.enqueue(ClaimRequest(operation, reply))
         try:
-            return reply.get(timeout=WAIT_S)
+            return reply.get(timeout=REPLY_TIMEOUT_S)
         except queue.Empty:
             return Failure(PlatformError("The platform is slow.", remedy="Repeat the same id."))
 
@@ -100,9 +100,9 @@
             except PlatformError as exc:
                 # Fail fast for half the failed call's time, so an instant failure blocks nothing.
                 now = time.monotonic()
-                self._down_until = now + min(PAUSE_S, (now - started) / 2)
-                self._known.pop(shard, None)
-                self._uncertain |= operations
+                self._down_until = now + min(MAX_FAIL_FAST_S, (now - started) / 2)
+                self._cached_shards.pop(shard, None)
+                self._maybe_claimed |= operations
                 for request in requests:
                     request.reply.put(Failure(exc))
                 continue
@@ -116,11 +116,15 @@
         write took effect, this process is the holder of the ids.
         """
         new: set[str] = set()
-        for _ in range(TRIES):
-            known = self._known.pop(number) if number in self._known else self._read(number)
-            shard, version = known
-            new |= {op for op in operations if op not in shard.claims or op in self._uncertain}
-            outcome = claim_operations(shard, operations, self._me)
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            cached = (
+                self._cached_shards.pop(number)
+                if number in self._cached_shards
+                else self._read(number)
+            )
+            shard, version = cached
+            new |= {op for op in operations if op not in shard.claims or op in self._maybe_claimed}
+            outcome = claim_operations(shard, operations, self._own_claim)
             if outcome.shard != shard:
                 try:
                     self.writes += 1
@@ -129,11 +133,11 @@
                 except (WriteConflictError, UncertainWriteError):
                     continue
                 self.claimed += len(operations)
-            self._known[number] = (outcome.shard, version)
-            self._uncertain -= operations
+            self._cached_shards[number] = (outcome.shard, version)
+            self._maybe_claimed -= operations
             for operation in new:
-                if outcome.holders[operation] == self._me:
-                    self.on_new(operation)
+                if outcome.holders[operation] == self._own_claim:
+                    self.on_claimed(operation)
             return outcome.holders
         raise PlatformError("Many write the same shard at once.", remedy="Repeat the same id.")
 
--- a/halldoor/entry/configuration.py
+++ b/halldoor/entry/configuration.py
@@ -36,21 +36,21 @@
 from halldoor.wire.client import PeerPool
 from halldoor.wire.protocol import idl
 
-WATCH_S = 15.0
+WATCH_TIMEOUT_S = 15.0
 """Seconds after which a watch call on the platform returns without a change."""
 RETRY_S = 0.5
-CHECK_S = 0.25
+CHECK_PERIOD_S = 0.25
 """Seconds between checks whether this entry has become a relay."""
 
 
-class Newer(NamedTuple):
+class NewerRevision(NamedTuple):
     """A message that a peer has a newer revision."""
 
     revision: int
     address: Address
 
 
-class ConfigurationTask(Task[Newer]):
+class ConfigurationTask(Task[NewerRevision]):
     """Keeps the configuration's head, its parts and the table of client blocks.
 
     Parameters
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        me: str,
+        entry_name: str,
         hall: str,
         *,
         platform: Platform,
@@ -83,8 +83,8 @@
         on_snapshot: Callable[[Snapshot], None],
         rotate_relays: bool = False,
     ) -> None:
-        super().__init__("configuration", period_s=CHECK_S)
-        self._me = me
+        super().__init__("configuration", period_s=CHECK_PERIOD_S)
+        self._entry_name = entry_name
         self._hall = hall
         self._platform = platform
         self._peers = peers
@@ -99,7 +99,7 @@
         self._blocks = BlockTable()
         self._snapshot: Snapshot | None = None
         self._watcher = threading.Thread(target=self._watch, name="watch", daemon=True)
-        self._random = random.Random(me)
+        self._random = random.Random(entry_name)
         self.adopted_at = 0.0
         self.platform_calls = 0
 
@@ -118,11 +118,13 @@
         """Watch the platform while this entry is a relay."""
         while not self.is_stopping:
             if not self.is_relay():
-                time.sleep(CHECK_S)
+                time.sleep(CHECK_PERIOD_S)
                 continue
             try:
                 self.platform_calls += 1
-                value = self._platform.watch(HEAD_KEY, after=self._head_version, timeout_s=WATCH_S)
+                value = self._platform.watch(
+                    HEAD_KEY, after=self._head_version, timeout_s=WATCH_TIMEOUT_S
+                )
                 self._gossip.set_flags(sees_platform=True)
                 if value is not None:
                     head = msgspec.msgpack.decode(value.data, type=Head)
@@ -151,7 +153,7 @@
 
     def is_relay(self) -> bool:
         """Check whether this entry watches the platform; without a configuration it always does."""
-        return self._head is None or self._me in self.choose_relays()
+        return self._head is None or self._entry_name in self.choose_relays()
 
     def _fetch_from_platform(self, wanted: str) -> bytes:
         """Fetch a part by digest from the platform; empty if it is missing there."""
@@ -159,20 +161,20 @@
         value = self._platform.get(PART_PREFIX + wanted)
         return value.data if value is not None else b""
 
-    def hear(self, revision: int, sender: str) -> int:
+    def receive_announcement(self, revision: int, sender: str) -> int:
         """Queue a fetch of an announced newer revision, and return the revision in force here."""
         snapshot = self._snapshot
         entry = find_entry(snapshot, sender) if snapshot is not None else None
         if revision > self.revision and entry is not None:
-            self.tell(Newer(revision, entry.wire))
+            self.enqueue(NewerRevision(revision, entry.wire))
         return self.revision
 
-    def hear_gossip(self, revision: int, address: Address) -> None:
+    def receive_gossip(self, revision: int, address: Address) -> None:
         """Queue a fetch from a peer whose gossip message carried a newer revision."""
         if revision > self.revision:
-            self.tell(Newer(revision, address))
+            self.enqueue(NewerRevision(revision, address))
 
-    def handle(self, messages: list[Newer]) -> None:
+    def handle(self, messages: list[NewerRevision]) -> None:
         """Fetch the configuration from the peers with newer revisions, newest first."""
         for message in sorted(messages, key=lambda m: -m.revision):
             if message.revision > self.revision:
@@ -211,7 +213,7 @@
             if not is_newer(head, current):
                 return False
             for wanted in list_missing(head, self._parts):
-                self._parts[wanted] = _check(fetch(wanted), wanted)
+                self._parts[wanted] = _verify_digest(fetch(wanted), wanted)
             self._fetch_blocks(head, fetch)
             configuration = join_configuration(head, self._parts)
             snapshot = Snapshot.from_configuration(
@@ -243,13 +245,13 @@
         wanted = set(index.values())
         for name, part in index.items():
             if part not in self._parts:
-                data = _check(fetch(part), part)
+                data = _verify_digest(fetch(part), part)
                 self._parts[part] = data
                 self._blocks.replace_chunk(name, data)
-                self._drop_chunks(name, wanted)
+                self._drop_replaced_chunk(name, wanted)
         self._blocks.retain_chunks(index)
 
-    def _drop_chunks(self, name: str, wanted: set[str]) -> None:
+    def _drop_replaced_chunk(self, name: str, wanted: set[str]) -> None:
         """Drop the bytes of the old chunk with the given name, unless the new head uses them."""
         head = self._head
         if head is None:
@@ -270,11 +272,11 @@
         assert snapshot is not None
         message = idl.Head(revision=head.revision, data=b"", platform_version=0)
         for entry in snapshot.hall.entries:
-            if entry.name == self._me or self._gossip.is_avoided(entry.name):
+            if entry.name == self._entry_name or self._gossip.is_avoided(entry.name):
                 continue
             try:
                 self._peers.call(
-                    entry.wire, "announce", timeout_s=0.3, head=message, sender=self._me
+                    entry.wire, "announce", timeout_s=0.3, head=message, sender=self._entry_name
                 )
             except PeerError:
                 continue  # Gossip carries the revision to this entry.
@@ -292,7 +294,7 @@
         return self._parts.get(wanted, b"")
 
 
-def _check(data: bytes, wanted: str) -> bytes:
+def _verify_digest(data: bytes, wanted: str) -> bytes:
     """Return fetched bytes, or raise `PeerError` if they don't match their digest."""
     if digest(data) != wanted:
         raise PeerError(
--- a/halldoor/entry/dispatch.py
+++ b/halldoor/entry/dispatch.py
@@ -18,12 +18,12 @@
 from halldoor.core.steering.snapshot import ServiceView, Snapshot
 from halldoor.entry.local import LocalHall
 from halldoor.entry.outcome import HallRefusal
-from halldoor.entry.remote import TO_TARGET, RemoteEntry, is_final
+from halldoor.entry.remote import TO_TARGET, RequestForwarder, is_final
 from halldoor.entry.request import Answer, Body, Request
 
-REMOTE_HALLS = 3
+MAX_REMOTE_HALLS = 3
 """Most other halls that are tried for one request."""
-STREAM_RESERVE = 1_000_000
+STREAM_RESERVE_BYTES = 1_000_000
 """Link bytes reserved for a body of unknown length."""
 
 
@@ -41,7 +41,7 @@
     decision: Decision
 
 
-class _Trail:
+class _RoutingProgress:
     """Progress of one request through its routing steps: failures, target, caps charged."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         self.attempts = 0
         self.cap = ""
         self.remote_halls = 0
-        self.paid: set[tuple[str, ...]] = set()
+        self.charged: set[tuple[str, ...]] = set()
 
     def add_failure(self, step: RoutingStep, failure: HallRefusal) -> None:
         """Record why a step failed."""
@@ -71,11 +71,11 @@
 
     Parameters
     ----------
-    me : str
+    entry_name : str
         Name of this entry.
     local : LocalHall
         Serves requests at the own hall's targets.
-    remote : RemoteEntry
+    remote : RequestForwarder
         Forwards requests to entries of other halls.
     invariants : Invariants
         Counters of violated invariants.
@@ -85,14 +85,14 @@
 
     def __init__(
         self,
-        me: str,
+        entry_name: str,
         *,
         local: LocalHall,
-        remote: RemoteEntry,
+        remote: RequestForwarder,
         invariants: Invariants,
         is_avoided: Callable[[str], bool],
     ) -> None:
-        self._me = me
+        self._entry_name = entry_name
         self._local = local
         self._remote = remote
         self._invariants = invariants
@@ -105,7 +105,7 @@
     def adopt(self, snapshot: Snapshot) -> None:
         """Apply a new configuration revision to caps and link limits."""
         roster = [e.name for e in snapshot.hall.entries]
-        index = roster.index(self._me) if self._me in roster else len(roster)
+        index = roster.index(self._entry_name) if self._entry_name in roster else len(roster)
         with self._lock:
             for name, view in snapshot.services.items():
                 self._meters.setdefault(name, ServiceMeters()).set_caps(view)
@@ -119,67 +119,75 @@
     def serve(self, request: Request, body: Body) -> Result[Served, Refused]:
         """Try the steps of a request until one answers, or return the final refusal."""
         snapshot = self.snapshot
-        trail = _Trail()
+        progress = _RoutingProgress()
         view = snapshot.services.get(request.service) if snapshot else None
         if snapshot is None or view is None:
             # The request was read under another revision, or by an entry that has another one.
             refusal = refuse(
                 Reason.UNKNOWN_SERVICE, "The service is not known here now. Retry later."
             )
-            decision = self._decide(request, trail, snapshot, refusal.reason.value)
+            decision = self._build_decision(request, progress, snapshot, refusal.reason.value)
             return Failure(Refused(refusal, decision))
         with self._lock:
             meters = self._meters[request.service]
             meters.add_request()
         for step in list_routing_steps(view, request.client):
-            if not self._may_take(step, trail, meters, snapshot):
+            if not self._may_try_step(step, progress, meters, snapshot):
                 continue
-            result = self._try(step, request, body, snapshot, view)
+            result = self._try_step(step, request, body, snapshot, view)
             if isinstance(result, Success):
                 answer = result.unwrap()
-                trail.step, trail.target = step, answer.target
-                trail.passed_over += answer.passed_over
-                trail.attempts += answer.attempts
-                return Success(Served(answer, self._decide(request, trail, snapshot, "served")))
+                progress.step, progress.target = step, answer.target
+                progress.passed_over += answer.passed_over
+                progress.attempts += answer.attempts
+                return Success(
+                    Served(answer, self._build_decision(request, progress, snapshot, "served"))
+                )
             failure = result.failure()
-            trail.add_failure(step, failure)
-            if not _may_go_on(failure.refusal, request, body):
+            progress.add_failure(step, failure)
+            if not _may_try_next(failure.refusal, request, body):
                 break
-        refusal = trail.refusal
+        refusal = progress.refusal
         return Failure(
-            Refused(refusal, self._decide(request, trail, snapshot, refusal.reason.value))
+            Refused(
+                refusal, self._build_decision(request, progress, snapshot, refusal.reason.value)
+            )
         )
 
-    def _may_take(
-        self, step: RoutingStep, trail: _Trail, meters: ServiceMeters, snapshot: Snapshot
+    def _may_try_step(
+        self,
+        step: RoutingStep,
+        progress: _RoutingProgress,
+        meters: ServiceMeters,
+        snapshot: Snapshot,
     ) -> bool:
-        """Check whether the caps and `REMOTE_HALLS` allow a step, and charge its caps."""
+        """Check whether the caps and `MAX_REMOTE_HALLS` allow a step, and charge its caps."""
         is_remote = step.hall != snapshot.hall.name
-        if is_remote and trail.remote_halls >= REMOTE_HALLS:
+        if is_remote and progress.remote_halls >= MAX_REMOTE_HALLS:
             return False
-        if step.charges and step.charges not in trail.paid:
+        if step.charges and step.charges not in progress.charged:
             with self._lock:
                 denied = meters.charge_move(step.charges)
                 self._invariants.check(meters.is_within_caps(), "moved-within-cap", denied)
             if denied:
-                trail.cap = f"the cap of '{denied}' forbade a move to hall {step.hall}"
-                trail.passed_over.append(PassedOver(f"hall {step.hall}", f"cap of '{denied}'"))
-                if trail.step is None or trail.refusal.ran == Ran.NOT_RUN:
-                    trail.refusal = _refuse_by_cap(denied)
+                progress.cap = f"the cap of '{denied}' forbade a move to hall {step.hall}"
+                progress.passed_over.append(PassedOver(f"hall {step.hall}", f"cap of '{denied}'"))
+                if progress.step is None or progress.refusal.ran == Ran.NOT_RUN:
+                    progress.refusal = _refuse_by_cap(denied)
                 return False
-            trail.paid.add(step.charges)
-            trail.cap = f"the move was counted against {', '.join(step.charges)}"
-        trail.remote_halls += is_remote
+            progress.charged.add(step.charges)
+            progress.cap = f"the move was counted against {', '.join(step.charges)}"
+        progress.remote_halls += is_remote
         return True
 
-    def _try(
+    def _try_step(
         self, step: RoutingStep, request: Request, body: Body, snapshot: Snapshot, view: ServiceView
     ) -> Result[Answer, HallRefusal]:
         """Send a request to the hall of one step."""
         is_spill = step.hall not in view.home_halls
         if step.hall == snapshot.hall.name:
             return self._local.serve(step.targets, request, body, is_spill=is_spill)
-        size = len(body.data) if body.is_whole else max(request.length, STREAM_RESERVE)
+        size = len(body.data) if body.is_whole else max(request.length, STREAM_RESERVE_BYTES)
         share = self._links.get(step.hall)
         if share is not None:
             with self._lock:
@@ -196,15 +204,15 @@
                 is_spill=is_spill,
             )
         except BaseException:
-            self._release(share, size)
+            self._release_link(share, size)
             raise
         if isinstance(result, Success):
-            result.unwrap().add_end(lambda _: self._release(share, size))
+            result.unwrap().add_end_callback(lambda _: self._release_link(share, size))
         else:
-            self._release(share, size)
+            self._release_link(share, size)
         return result
 
-    def _release(self, share: LinkShare | None, size: int) -> None:
+    def _release_link(self, share: LinkShare | None, size: int) -> None:
         """Release reserved link capacity; do nothing if the link has no limit."""
         if share is None:
             return
@@ -218,26 +226,26 @@
         names = sorted(rank(request.id, entries), key=self._is_avoided)
         return [entries[name] for name in names]
 
-    def _decide(
-        self, request: Request, trail: _Trail, snapshot: Snapshot | None, outcome: str
+    def _build_decision(
+        self, request: Request, progress: _RoutingProgress, snapshot: Snapshot | None, outcome: str
     ) -> Decision:
         """Build the decision record of a request."""
-        step = trail.step
+        step = progress.step
         return Decision(
             id=request.id,
-            entry=self._me,
+            entry=self._entry_name,
             revision=snapshot.revision if snapshot else 0,
             service=request.service,
             operation=request.operation,
             client=request.client,
             selector=step.selector if step else "",
             because=step.because if step else "no hall was tried",
-            cap=trail.cap,
+            cap=progress.cap,
             hall=step.hall if step else "",
-            target=trail.target,
+            target=progress.target,
             outcome=outcome,
-            attempts=trail.attempts,
-            passed_over=trail.passed_over,
+            attempts=progress.attempts,
+            passed_over=progress.passed_over,
         )
 
     def count_moves(self) -> dict[tuple[str, str], tuple[int, int, float]]:
@@ -250,9 +258,9 @@
             }
 
 
-def _may_go_on(refusal: Refusal, request: Request, body: Body) -> bool:
+def _may_try_next(refusal: Refusal, request: Request, body: Body) -> bool:
     """Check whether the next step may be tried after a refusal."""
-    if is_final(refusal, request) or not body.can_repeat:
+    if is_final(refusal, request) or not body.can_resend:
         return False
     return request.get_remaining_s() > 0 and not request.cancellation.is_cancelled
 
--- a/halldoor/entry/gossip.py
+++ b/halldoor/entry/gossip.py
@@ -21,11 +21,11 @@
 
 FANOUT = 2
 """Peers of the own hall that one exchange per period is made with."""
-SEEDS_ASKED = 2
+SEEDS_PER_PERIOD = 2
 """Seeds contacted per period until a configuration is known; each may cost a timeout."""
-REMOTE_EVERY = 3
+REMOTE_EVERY_PERIODS = 3
 """Number of periods between two exchanges with an entry of another hall."""
-LARGE_HALL = 8
+LARGE_HALL_ENTRIES = 8
 """Number of entries above which the hall's period grows, to bound the traffic per entry."""
 TIMEOUT_S = 0.4
 SUSPECT_PERIODS = 5
@@ -33,11 +33,11 @@
 `SUSPECT_AFTER_S` seconds."""
 
 
-class Beat(NamedTuple):
+class HeartbeatRequest(NamedTuple):
     """A request to send heartbeats now instead of at the end of the period."""
 
 
-class GossipTask(Task[Beat]):
+class GossipTask(Task[HeartbeatRequest]):
     """Exchanges membership records with peers, and reports changes through callbacks.
 
     Parameters
@@ -49,7 +49,7 @@
     seeds : list of Address
         Wire addresses to contact until a configuration is known.
     period_s : float
-        Seconds between exchanges, in halls of up to `LARGE_HALL` entries.
+        Seconds between exchanges, in halls of up to `LARGE_HALL_ENTRIES` entries.
 
     Attributes
     ----------
@@ -81,15 +81,15 @@
         # Rotating through the seeds finds a single reachable one in bounded time.  The order is
         # random, so that entries that start together don't contact the same seeds.
         self._seeds = deque(self._random.sample(seeds, len(seeds)))
-        self._turn = 0
+        self._period_count = 0
         self._snapshot: Snapshot | None = None
         self.get_reports: Callable[[], tuple[TargetReport, ...]] = lambda: ()
         self.on_reports: Callable[[Member], None] = lambda member: None
         self.on_revision: Callable[[int, Address], None] = lambda revision, address: None
         self.on_revisions: Callable[[dict[str, int]], None] = lambda revisions: None
         self.on_change: Callable[[], None] = lambda: None
-        self._seen: tuple[Any, ...] = ()
-        self.messages = 0
+        self._last_members: tuple[Any, ...] = ()
+        self.messages_sent = 0
 
     def adopt(self, snapshot: Snapshot) -> None:
         """Publish a new revision in heartbeats; adapt the failure timeout to the hall's size."""
@@ -112,26 +112,26 @@
     def _get_period_s(self) -> float:
         """Return the mean seconds between two exchanges; longer in large halls."""
         entries = len(self._snapshot.hall.entries) if self._snapshot else 1
-        return self._period_s * max(1.0, entries / LARGE_HALL)
+        return self._period_s * max(1.0, entries / LARGE_HALL_ENTRIES)
 
-    def handle(self, messages: list[Beat]) -> None:
+    def handle(self, messages: list[HeartbeatRequest]) -> None:
         """Do nothing: `tick`, which follows every message, sends the heartbeats."""
 
     def tick(self) -> None:
         """Update the own heartbeat, exchange records with some peers, and run the callbacks."""
-        self._turn += 1
+        self._period_count += 1
         with self._lock:
             self._membership.advance_heartbeat(reports=self.get_reports())
-        for name, address in self._choose():
+        for name, address in self._choose_peers():
             self._exchange(name, address)
         # Peers send reports only when they change, so the last ones are applied again.
         members = self.list_alive()
         for member in members:
             self.on_reports(member)
         self.on_revisions({m.name: m.revision for m in members})
-        self._notice_change()
+        self._detect_change()
 
-    def _choose(self) -> list[tuple[str, Address]]:
+    def _choose_peers(self) -> list[tuple[str, Address]]:
         """Choose the peers to exchange with in this period."""
         snapshot = self._snapshot
         if snapshot is None:
@@ -139,7 +139,7 @@
         me = self._membership.me.name
         near = [e for e in snapshot.hall.entries if e.name != me]
         chosen = self._random.sample(near, min(FANOUT, len(near)))
-        if self._turn % REMOTE_EVERY == 0:
+        if self._period_count % REMOTE_EVERY_PERIODS == 0:
             far = [
                 e
                 for h in snapshot.configuration.halls
@@ -151,23 +151,23 @@
 
     def _choose_seeds(self) -> list[tuple[str, Address]]:
         """Choose the least recently contacted seeds."""
-        chosen = [self._seeds[i] for i in range(min(SEEDS_ASKED, len(self._seeds)))]
+        chosen = [self._seeds[i] for i in range(min(SEEDS_PER_PERIOD, len(self._seeds)))]
         self._seeds.rotate(-len(chosen))
         return [(str(a), a) for a in chosen]
 
     def _exchange(self, name: str, address: Address) -> None:
         """Exchange membership records with one peer."""
-        message = self._build(name)
-        self.messages += 1
+        message = self._build_message(name)
+        self.messages_sent += 1
         try:
             reply = self._peers.call(address, "exchange", timeout_s=TIMEOUT_S, gossip=message)
         except PeerError:
             with self._lock:
                 self._membership.forget_sent(name)
             return
-        self._take(reply, address)
+        self._merge(reply, address)
 
-    def _build(self, peer: str) -> Any:
+    def _build_message(self, peer: str) -> Any:
         """Build the message for a peer: new records, or only the own one for another hall."""
         with self._lock:
             me = self._membership.me
@@ -184,11 +184,11 @@
         """Return the hall of an entry; empty if unknown."""
         return self._snapshot.hall_by_entry.get(name, "") if self._snapshot else ""
 
-    def answer(self, gossip: Any) -> Any:
+    def answer_exchange(self, gossip: Any) -> Any:
         """Merge the records that a peer sent, and return this entry's message for it."""
         entry = self._find_entry(gossip.sender)
-        self._take(gossip, entry.wire if entry else None)
-        return self._build(gossip.sender)
+        self._merge(gossip, entry.wire if entry else None)
+        return self._build_message(gossip.sender)
 
     def _find_entry(self, name: str) -> EntryHost | None:
         """Find an entry's addresses."""
@@ -197,7 +197,7 @@
             return None
         return find_entry(snapshot, name)
 
-    def _take(self, gossip: Any, address: Address | None) -> None:
+    def _merge(self, gossip: Any, address: Address | None) -> None:
         """Merge a peer's records, and report its target reports and a newer revision."""
         members = [from_member(m) for m in gossip.members or []]
         with self._lock:
@@ -210,7 +210,7 @@
         if gossip.revision > me.revision and address is not None:
             self.on_revision(gossip.revision, address)
 
-    def _notice_change(self) -> None:
+    def _detect_change(self) -> None:
         """Call `on_change` if the hall's live entries or the leaving entries changed."""
         now = time.monotonic()
         with self._lock:
@@ -219,8 +219,8 @@
             leaving = tuple(self._membership.list_leaving())
         # Records from other halls arrive too rarely to infer that their entries died.
         seen = tuple(sorted(m.name for m in members if m.hall == hall))
-        if (seen, leaving) != self._seen:
-            self._seen = (seen, leaving)
+        if (seen, leaving) != self._last_members:
+            self._last_members = (seen, leaving)
             self.log.info(
                 "The hall's live or leaving members changed.", members=seen, leaving=leaving
             )
--- a/halldoor/entry/hall.py
+++ b/halldoor/entry/hall.py
@@ -18,7 +18,7 @@
 from halldoor.core.steering.configuration import Target
 from halldoor.core.steering.snapshot import Snapshot
 
-REST_MARGIN_S = 0.2
+BUSY_MARGIN_S = 0.2
 """Seconds after a deadline in which a target may still run a request that was cut off."""
 SPILL_HEADROOM = 0.1
 """Share of slots kept free for the hall's own callers when another region sends requests."""
@@ -33,14 +33,14 @@
     hold: Hold
 
 
-class NoAdmission(NamedTuple):
+class AdmissionDenial(NamedTuple):
     """The reason why no target was admitted, and the targets that were rejected."""
 
     refusal: Refusal
     passed_over: list[PassedOver]
 
 
-class HallRoom:
+class AdmissionController:
     """Admits requests to this hall's targets by slots, health and policy, for one entry.
 
     One lock guards all state.  A task that receives each admission as a message was
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        me: str,
+        entry_name: str,
         *,
         policy: Policy,
         invariants: Invariants,
@@ -68,7 +68,7 @@
         self._rest_at_start = rest_at_start
         self._snapshot: Snapshot | None = None
         self._in_flight: dict[str, int] = {}
-        self.slots = SlotTable(me)
+        self.slots = SlotTable(entry_name)
         self.health = HealthTable()
 
     def adopt(self, snapshot: Snapshot) -> None:
@@ -104,7 +104,7 @@
         with self._lock:
             self.slots.confirm(adopted, now=time.monotonic())
 
-    def list_pending(self) -> list[str]:
+    def list_unconfirmed_entries(self) -> list[str]:
         """List the former entries that moved slots still wait for."""
         with self._lock:
             return sorted(self.slots.list_pending())
@@ -117,7 +117,7 @@
         excluded: frozenset[str] = frozenset(),
         is_spill: bool = False,
         wait_s: float = 0.0,
-    ) -> Result[Admission, NoAdmission]:
+    ) -> Result[Admission, AdmissionDenial]:
         """Choose a target that has a free slot, and reserve the slot.
 
         Parameters
@@ -143,19 +143,19 @@
                 return Failure(
                     self._refuse(Reason.NO_ROOM, "keeps its slots for its own callers", passed_over)
                 )
-            admission = self._take_own(names, until, now, passed_over)
+            admission = self._acquire_own_slot(names, until, now, passed_over)
         if admission is None and names and until > now:
             # Borrowing from a peer takes a round trip, so the lock is not held during it.
-            admission = self._take_borrowed(names, until)
+            admission = self._borrow_slot(names, until)
         if admission is None and names and wait_s > 0:
-            admission = self._wait(targets, until=until, excluded=excluded, wait_s=wait_s)
+            admission = self._wait_for_slot(targets, until=until, excluded=excluded, wait_s=wait_s)
         if admission is not None:
             return Success(admission)
         if not names:
             return Failure(self._refuse(Reason.NO_TARGET, "has no healthy target", passed_over))
         return Failure(self._refuse(Reason.NO_ROOM, "has no free slot", passed_over))
 
-    def _wait(
+    def _wait_for_slot(
         self, targets: Sequence[str], *, until: float, excluded: frozenset[str], wait_s: float
     ) -> Admission | None:
         """Wait up to ``wait_s`` seconds for one of this entry's own slots.
@@ -174,18 +174,18 @@
                     self._lock.wait(ends - now)
                     now = time.monotonic()
                     names = self._list_candidates(targets, excluded, now, [])
-                    admission = self._take_own(names, until, now, [])
+                    admission = self._acquire_own_slot(names, until, now, [])
                     if admission is not None:
                         return admission
             finally:
                 self._waiting -= 1
         return None
 
-    def _refuse(self, reason: Reason, what: str, passed_over: list[PassedOver]) -> NoAdmission:
+    def _refuse(self, reason: Reason, what: str, passed_over: list[PassedOver]) -> AdmissionDenial:
         """Build a refusal that names this hall."""
         hall = self._snapshot.hall.name if self._snapshot else "?"
         message = f"Hall {hall} {what}. Retry in a second."
-        return NoAdmission(refuse(reason, message), passed_over)
+        return AdmissionDenial(refuse(reason, message), passed_over)
 
     def _list_candidates(
         self,
@@ -212,13 +212,13 @@
         passed_over += [
             PassedOver(n, "its probes or answers fail") for n in open_names if n not in usable
         ]
-        views = [self._view(n, now) for n in usable]
-        cold = [v.name for v in views if _is_cold_full(v, self._snapshot.hall_targets[v.name])]
+        views = [self._build_view(n, now) for n in usable]
+        cold = [v.name for v in views if _is_at_ramp_limit(v, self._snapshot.hall_targets[v.name])]
         warm = self._policy.order([v for v in views if v.name not in cold])
         # A cold target at its ramp's limit is a last resort: slow, but better than a refusal.
         return [*warm, *self._policy.order([v for v in views if v.name in cold])]
 
-    def _view(self, name: str, now: float) -> TargetView:
+    def _build_view(self, name: str, now: float) -> TargetView:
         """Build the policy's view of one target."""
         share = self.slots.count_own(name)
         return self.health.view(name, in_flight=self._in_flight.get(name, 0), share=share, now=now)
@@ -229,7 +229,7 @@
         free = sum(self.slots.count_free(t, now) for t in targets)
         return free > home * SPILL_HEADROOM
 
-    def _take_own(
+    def _acquire_own_slot(
         self, names: Sequence[str], until: float, now: float, passed_over: list[PassedOver]
     ) -> Admission | None:
         """Reserve an own slot of the first target that has a free one."""
@@ -237,19 +237,19 @@
         for name in names:
             hold = self.slots.acquire(name, now=now, until=until)
             if hold is not None:
-                return self._count_in(name, hold)
+                return self._record_admission(name, hold)
             passed_over.append(PassedOver(name, "no own slot of it was free"))
         return None
 
-    def _take_borrowed(self, names: Sequence[str], until: float) -> Admission | None:
+    def _borrow_slot(self, names: Sequence[str], until: float) -> Admission | None:
         """Borrow a slot of any of the targets from another entry of the hall."""
         hold = self._borrow(names, until)
         if hold is None:
             return None
         with self._lock:
-            return self._count_in(hold.key.target, hold)
+            return self._record_admission(hold.key.target, hold)
 
-    def _count_in(self, name: str, hold: Hold) -> Admission:
+    def _record_admission(self, name: str, hold: Hold) -> Admission:
         """Count a request as in flight on a target, and return its admission."""
         assert self._snapshot is not None
         self._in_flight[name] = self._in_flight.get(name, 0) + 1
@@ -275,10 +275,10 @@
             The admission that ends.
         busy_until : float, optional
             Time, in monotonic seconds, until which the target may still run a request that was
-            cut off; the slot stays unused for `REST_MARGIN_S` longer.
+            cut off; the slot stays unused for `BUSY_MARGIN_S` longer.
         """
         hold = admission.hold
-        rest_until = busy_until + REST_MARGIN_S if busy_until else 0.0
+        rest_until = busy_until + BUSY_MARGIN_S if busy_until else 0.0
         name = admission.target.name
         with self._lock:
             self._in_flight[name] -= 1
@@ -301,13 +301,15 @@
                     return loan
         return None
 
-    def end_loan(self, number: int, borrower: str, rest_s: float) -> None:
+    def reclaim_lent_slot(self, number: int, borrower: str, rest_s: float) -> None:
         """End a loan; its slot can be used again after ``rest_s`` seconds."""
         with self._lock:
             self.slots.end_loan(number, borrower, rest_until=time.monotonic() + rest_s)
             self._lock.notify()
 
-    def mark(self, target: str, *, is_healthy: bool, is_leaving: bool, load: float = 0.0) -> None:
+    def record_health(
+        self, target: str, *, is_healthy: bool, is_leaving: bool, load: float = 0.0
+    ) -> None:
         """Record a target's health, reported by a probe here or by a peer."""
         with self._lock:
             self.health.add_report(
@@ -335,7 +337,7 @@
             said = known is not None and known.leaving
             return said or self.health.is_leaving(target, time.monotonic())
 
-    def add_result(self, target: str, *, is_good: bool, latency_s: float = 0.0) -> None:
+    def record_result(self, target: str, *, is_good: bool, latency_s: float = 0.0) -> None:
         """Record a successful or failed answer in a target's health."""
         with self._lock:
             if is_good:
@@ -343,12 +345,12 @@
             else:
                 self.health.add_failure(target, now=time.monotonic())
 
-    def add_shed(self, target: str) -> None:
+    def record_shed(self, target: str) -> None:
         """Record in a target's health that it shed a request."""
         with self._lock:
             self.health.add_shed(target, now=time.monotonic())
 
-    def count(self) -> dict[str, SlotCount]:
+    def count_slots(self) -> dict[str, SlotCount]:
         """Count the own slots of every target of the hall."""
         now = time.monotonic()
         with self._lock:
@@ -382,13 +384,13 @@
     in_flight: int
 
 
-def _is_cold_full(view: TargetView, target: Target) -> bool:
+def _is_at_ramp_limit(view: TargetView, target: Target) -> bool:
     """Check whether a cold target already has all requests that its ramp allows."""
     if view.ramp >= 1.0:
         return False
     return view.in_flight >= max(1, int(target.slots * view.ramp))
 
 
-def to_hold(target: str, index: int, lender: str, number: int, until: float) -> Hold:
+def build_borrowed_hold(target: str, index: int, lender: str, number: int, until: float) -> Hold:
     """Build the hold of a slot borrowed from ``lender`` under loan ``number``."""
     return Hold(SlotKey(target, index), lender, number, until)
--- a/halldoor/entry/local.py
+++ b/halldoor/entry/local.py
@@ -11,12 +11,12 @@
 from halldoor.core.explaining.decision import PassedOver
 from halldoor.core.hall.retry import RetryBudget
 from halldoor.core.retry import RetryFacts, RetryObstacle, find_retry_obstacle
-from halldoor.entry.hall import Admission, HallRoom
+from halldoor.entry.hall import Admission, AdmissionController
 from halldoor.entry.outcome import HallRefusal
 from halldoor.entry.request import Answer, Body, Request, RequestError
-from halldoor.entry.targets import PREFETCH, Fault, TargetClient, TargetFault
+from halldoor.entry.targets import PREFETCH_BYTES, Fault, TargetClient, TargetFault
 
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Most sends of one request to targets of this hall."""
 
 
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    room : HallRoom
+    controller : AdmissionController
         Admits requests by slots, health and policy.
     client : TargetClient
         Connections to targets.
@@ -34,8 +34,10 @@
         attempt and before each retry.
     """
 
-    def __init__(self, room: HallRoom, client: TargetClient, *, queue_s: float = 0.0) -> None:
-        self._room = room
+    def __init__(
+        self, controller: AdmissionController, client: TargetClient, *, queue_s: float = 0.0
+    ) -> None:
+        self._controller = controller
         self._queue_s = queue_s
         self._client = client
         self._budget = RetryBudget()
@@ -48,7 +50,7 @@
         admitted = self.admit(targets, request, is_spill=is_spill, wait_s=self._queue_s)
         if isinstance(admitted, Failure):
             return admitted
-        return self.carry(
+        return self.send_admitted(
             admitted.unwrap(), targets, request, body, is_spill=is_spill, wait_s=self._queue_s
         )
 
@@ -58,10 +60,12 @@
         """Reserve a target's slot, before any of the body is sent over a link between halls."""
         with self._budget_lock:
             self._budget.add_request()
-        result = self._room.admit(targets, until=request.deadline, is_spill=is_spill, wait_s=wait_s)
+        result = self._controller.admit(
+            targets, until=request.deadline, is_spill=is_spill, wait_s=wait_s
+        )
         return result.alt(lambda no: HallRefusal(no.refusal, no.passed_over))
 
-    def carry(
+    def send_admitted(
         self,
         admission: Admission,
         targets: Sequence[str],
@@ -74,7 +78,7 @@
         """Send an admitted request; retry it at other targets where that is safe."""
         passed_over: list[PassedOver] = []
         tried: set[str] = set()
-        for attempt in range(1, ATTEMPTS + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             name = admission.target.name
             try:
                 answer = self._send(admission, request, body)
@@ -88,7 +92,7 @@
             if obstacle is not None:
                 passed_over.append(PassedOver("another attempt", obstacle.value))
                 return Failure(HallRefusal(refusal, passed_over, name, attempt))
-            result = self._room.admit(
+            result = self._controller.admit(
                 targets,
                 until=request.deadline,
                 excluded=frozenset(tried),
@@ -109,9 +113,9 @@
             RetryFacts(
                 is_repeatable=request.is_repeatable,
                 may_have_run=refusal.ran != Ran.NOT_RUN,
-                can_resend=body.can_repeat,
+                can_resend=body.can_resend,
                 attempts=attempts,
-                attempt_limit=ATTEMPTS,
+                attempt_limit=MAX_ATTEMPTS,
                 left_s=0.0 if request.cancellation.is_cancelled else request.get_remaining_s(),
             )
         )
@@ -123,10 +127,10 @@
     def _send(self, admission: Admission, request: Request, body: Body) -> Answer:
         """Send to one target; release its slot and record its health from the result."""
         name = admission.target.name
-        room = self._room
+        controller = self._controller
 
         def may_send() -> bool:
-            return room.may_send(admission) and not request.cancellation.is_cancelled
+            return controller.may_send(admission) and not request.cancellation.is_cancelled
 
         try:
             answer, latency_s = self._client.send(
@@ -134,35 +138,35 @@
             )
         except TargetFault as exc:
             may_be_busy = exc.fault is Fault.MAYBE_RAN
-            room.release(admission, busy_until=request.deadline if may_be_busy else 0.0)
-            self._learn(name, exc.fault, request)
+            controller.release(admission, busy_until=request.deadline if may_be_busy else 0.0)
+            self._record_fault(name, exc.fault, request)
             raise RequestError(_to_refusal(exc, request)) from exc
         except BaseException:
-            room.release(admission, busy_until=request.deadline)
+            controller.release(admission, busy_until=request.deadline)
             raise
         deadline = request.deadline
-        answer.add_end(
-            lambda is_whole: room.release(admission, busy_until=0.0 if is_whole else deadline)
+        answer.add_end_callback(
+            lambda is_whole: controller.release(admission, busy_until=0.0 if is_whole else deadline)
         )
         if request.is_repeatable:
             self._prefetch(name, answer, request)
-        room.add_result(name, is_good=answer.status < 500, latency_s=latency_s)
+        controller.record_result(name, is_good=answer.status < 500, latency_s=latency_s)
         return answer
 
     def _prefetch(self, name: str, answer: Answer, request: Request) -> None:
         """Read the start of an answer, so that a break in it can be retried."""
         try:
-            answer.prefetch(PREFETCH)
+            answer.prefetch(PREFETCH_BYTES)
         except RequestError:
-            self._learn(name, Fault.MAYBE_RAN, request)
+            self._record_fault(name, Fault.MAYBE_RAN, request)
             raise
 
-    def _learn(self, name: str, fault: Fault, request: Request) -> None:
+    def _record_fault(self, name: str, fault: Fault, request: Request) -> None:
         """Record a fault in the target's health, unless the caller's cancellation caused it."""
         if fault is Fault.SHED:
-            self._room.add_shed(name)
+            self._controller.record_shed(name)
         elif not request.cancellation.is_cancelled:
-            self._room.add_result(name, is_good=False)
+            self._controller.record_result(name, is_good=False)
 
 
 def _to_refusal(fault: TargetFault, request: Request) -> Refusal:
--- a/halldoor/entry/metrics.py
+++ b/halldoor/entry/metrics.py
@@ -10,7 +10,7 @@
 from halldoor.core.invariant import Invariants
 from halldoor.entry.configuration import ConfigurationTask
 from halldoor.entry.dispatch import Dispatcher
-from halldoor.entry.hall import HallRoom
+from halldoor.entry.hall import AdmissionController
 
 BUCKETS = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0]
 
@@ -73,17 +73,17 @@
 def read_gauges(
     metrics: Metrics,
     *,
-    room: HallRoom,
+    controller: AdmissionController,
     dispatcher: Dispatcher,
     configuration: ConfigurationTask,
     invariants: Invariants,
 ) -> None:
     """Set every gauge from the state of the process's components."""
-    for target, count in room.count().items():
+    for target, count in controller.count_slots().items():
         for state, value in (("free", count.free), ("busy", count.busy), ("lent", count.lent)):
             metrics.set("slots", {"target": target, "state": state}, value)
         metrics.set("in_flight", {"target": target}, count.in_flight)
-        if room.is_leaving(target):
+        if controller.is_leaving(target):
             metrics.set("draining_in_flight", {"target": target}, count.in_flight)
     for (service, cap), (total, moved, limit) in dispatcher.count_moves().items():
         labels = {"service": service, "cap": cap}
--- a/halldoor/entry/orders.py
+++ b/halldoor/entry/orders.py
@@ -21,7 +21,7 @@
 from halldoor.core.orders.ticket import Answer as KeptAnswer
 from halldoor.core.orders.ticket import Ledger, State, Ticket, TicketRecord, decode_ticket
 from halldoor.core.steering.configuration import EntryHost
-from halldoor.entry.claims import Claims
+from halldoor.entry.claims import ClaimTask
 from halldoor.entry.dispatch import Refused, Served
 from halldoor.entry.outcome import HallRefusal
 from halldoor.entry.refusals import (
@@ -32,12 +32,12 @@
     refuse_unreachable,
     refuse_with_ticket,
 )
-from halldoor.entry.remote import TO_ISSUER, RemoteEntry
+from halldoor.entry.remote import TO_ISSUER, RequestForwarder
 from halldoor.entry.request import Answer, Body, Request, RequestError
 from halldoor.wire.client import PeerPool
 from halldoor.wire.convert import from_refusal
 
-KEPT_BODY = 65_536
+KEPT_BODY_BYTES = 65_536
 """Largest answer body, in bytes, that is stored for repeats of an order."""
 
 Serve = Callable[[Request, Body], Result[Served, Refused]]
@@ -52,11 +52,11 @@
     ----------
     ledger : Ledger
         Tickets of this process.
-    claims : Claims
+    claims : ClaimTask
         The claims task.
     serve : callable
         Routes a request.
-    remote : RemoteEntry
+    remote : RequestForwarder
         Forwards orders to the entries that issued their tickets.
     peers : PeerPool
         Connections for calls to issuers.
@@ -70,9 +70,9 @@
         self,
         ledger: Ledger,
         *,
-        claims: Claims,
+        claims: ClaimTask,
         serve: Serve,
-        remote: RemoteEntry,
+        remote: RequestForwarder,
         peers: PeerPool,
         find_entry: FindEntry,
         invariants: Invariants,
@@ -86,9 +86,9 @@
         self._find_entry = find_entry
         self._invariants = invariants
         self._sent: set[int] = set()
-        claims.on_new = self._open_line
+        claims.on_claimed = self._issue_claimed
 
-    def _open_line(self, operation: str) -> None:
+    def _issue_claimed(self, operation: str) -> None:
         """Issue the ticket of an id that this process has just claimed."""
         with self._lock:
             self._ledger.issue(operation, now=time.monotonic())
@@ -100,15 +100,15 @@
         """
         if not operation:
             return self._issue("")
-        held = self._find_holder(operation, is_order=False)
+        held = self._claim_operation(operation, is_order=False)
         if isinstance(held, Failure):
             return held
         holder = held.unwrap()
-        if self.is_me(holder):
+        if self.is_own_claim(holder):
             return self._issue(operation)
-        return self._ask_ticket(holder, operation)
+        return self._fetch_ticket(holder, operation)
 
-    def is_me(self, holder: Claim) -> bool:
+    def is_own_claim(self, holder: Claim) -> bool:
         """Check whether a claim is held by this process."""
         return holder == Claim(self._ledger.issuer, self._ledger.incarnation)
 
@@ -120,7 +120,7 @@
 
     def _issue(self, operation: str) -> Result[str, Refusal]:
         """Issue a ticket from this ledger; for an id, the one issued when it was claimed."""
-        if operation and not self._has_line(operation):
+        if operation and not self._has_ledger_entry(operation):
             return Failure(refuse_forgotten())
         with self._lock:
             text = self._ledger.issue(operation, now=time.monotonic())
@@ -129,17 +129,17 @@
             return Failure(refuse(Reason.NO_ROOM, message))
         return Success(text)
 
-    def _has_line(self, operation: str) -> bool:
+    def _has_ledger_entry(self, operation: str) -> bool:
         """Check whether the ledger contains an id that this process has claimed.
 
         Other entries can see the claim shortly before its ledger entry exists.  The claims
         task handles requests in order, so a second claim request waits until it does.
         """
         if self._ledger.find(operation) is None:
-            self._claims.ask(operation)
+            self._claims.request_claim(operation)
         return self._ledger.find(operation) is not None
 
-    def _ask_ticket(self, holder: Claim, operation: str) -> Result[str, Refusal]:
+    def _fetch_ticket(self, holder: Claim, operation: str) -> Result[str, Refusal]:
         """Fetch the ticket of an id from the process that holds its claim."""
         entry = self._find_entry(holder.issuer)
         if entry is None:
@@ -158,7 +158,7 @@
             return Failure(from_refusal(reply.refusal))
         return Success(reply.ticket)
 
-    def _find_holder(self, operation: str, *, is_order: bool) -> Result[Claim, Refusal]:
+    def _claim_operation(self, operation: str, *, is_order: bool) -> Result[Claim, Refusal]:
         """Claim an id for this process, and return the process that holds the claim."""
         if parse_time_ms(operation) is None:
             message = (
@@ -166,7 +166,7 @@
                 "Make one per operation, such as 01890a5d-ac96-774b-bcce-b302099a8057."
             )
             return Failure(refuse(Reason.BAD_REQUEST, message, retry_after_s=0.0))
-        claimed = self._claims.ask(operation)
+        claimed = self._claims.request_claim(operation)
         if isinstance(claimed, Failure):
             return Failure(refuse_platform_down(is_order=is_order))
         holder = claimed.unwrap()
@@ -195,11 +195,11 @@
                 "Halldoor-Ticket, or send your own Operation-Id."
             )
             return Failure(refuse(Reason.BAD_REQUEST, message, retry_after_s=0.0))
-        held = self._find_holder(request.operation_id, is_order=True)
+        held = self._claim_operation(request.operation_id, is_order=True)
         if isinstance(held, Failure):
             return held
         holder = held.unwrap()
-        if self.is_me(holder):
+        if self.is_own_claim(holder):
             return self.run_claimed(request, body)
         return self._forward_claimed(holder, request, body)
 
@@ -228,7 +228,7 @@
             return Failure(refuse_gone())
         if not self._ledger.is_genuine(ticket, payload, mac):
             return Failure(refuse_ticket("It is not genuine."))
-        return self._take_and_run(ticket, request, body)
+        return self._run_once(ticket, request, body)
 
     def run_forwarded(self, request: Request, body: Body, text: str) -> Outcome:
         """Run an order that another entry forwarded to this issuer; never forward it again."""
@@ -249,17 +249,17 @@
         not run after its caller received the refusal.
         """
         operation = request.operation_id
-        if not self._has_line(operation):
+        if not self._has_ledger_entry(operation):
             return Failure(refuse_forgotten())
         with self._lock:
-            line = self._ledger.find(operation)
-            if line is None:
+            ledger_entry = self._ledger.find(operation)
+            if ledger_entry is None:
                 return Failure(refuse_forgotten())
-            is_later = line.state == State.ISSUED and line.attempt > 1
-            if is_later or line.state == State.NOT_RUN:
+            is_later = ledger_entry.state == State.ISSUED and ledger_entry.attempt > 1
+            if is_later or ledger_entry.state == State.NOT_RUN:
                 fresh = self._ledger.issue(operation, now=time.monotonic())
                 return Failure(refuse_with_ticket(fresh or ""))
-        return self._take_and_run(line.ticket, request, body)
+        return self._run_once(ledger_entry.ticket, request, body)
 
     def _forward(self, entry: EntryHost, request: Request, body: Body, ticket: str) -> Outcome:
         """Forward an order to the entry that issued its ticket or holds its claim."""
@@ -273,19 +273,19 @@
             return Failure(refuse_unreachable(entry.name))
         return Failure(refusal)
 
-    def _take_and_run(self, ticket: Ticket, request: Request, body: Body) -> Outcome:
+    def _run_once(self, ticket: Ticket, request: Request, body: Body) -> Outcome:
         """Mark the ticket as used and run the order, or return the outcome of its first run."""
         with self._lock:
             taken = self._ledger.mark_sent(ticket, now=time.monotonic())
             if isinstance(taken, Refusal):
-                return Failure(self._add_ticket(ticket, taken))
+                return Failure(self._attach_new_ticket(ticket, taken))
             if taken.state == State.SENT:
                 self._invariants.check(
                     ticket.sequence not in self._sent, "sent-once", ticket.operation
                 )
                 self._sent.add(ticket.sequence)
         if taken.state != State.SENT:
-            return Success(_to_answer(taken))
+            return Success(_replay_answer(taken))
         is_settled = False
         try:
             outcome = self._send(ticket, request._replace(operation_id=ticket.operation), body)
@@ -294,35 +294,35 @@
         finally:
             if not is_settled:
                 message = "The entry failed while the order was under way. Look up its result."
-                self._settle(ticket, refuse_unknown(Reason.BROKEN, message))
+                self._settle_refusal(ticket, refuse_unknown(Reason.BROKEN, message))
 
     def _send(self, ticket: Ticket, request: Request, body: Body) -> Outcome:
         """Route the order and record its outcome in the ledger."""
         result = self._serve(request, body)
         if isinstance(result, Failure):
             refused = result.failure()
-            refusal = self._settle(ticket, refused.refusal)
+            refusal = self._settle_refusal(ticket, refused.refusal)
             return Failure(Refused(refusal, refused.decision))
         served = result.unwrap()
-        return Success(Served(self._keep(ticket, served.answer), served.decision))
+        return Success(Served(self._store_for_repeats(ticket, served.answer), served.decision))
 
-    def _settle(self, ticket: Ticket, refusal: Refusal) -> Refusal:
+    def _settle_refusal(self, ticket: Ticket, refusal: Refusal) -> Refusal:
         """Record a refusal as the ticket's outcome."""
         with self._lock:
             self._sent.discard(ticket.sequence)
             if refusal.ran == Ran.NOT_RUN:
                 self._ledger.settle_not_run(ticket, refusal)
-                return self._add_ticket(ticket, refusal)
+                return self._attach_new_ticket(ticket, refusal)
             return self._ledger.settle_unknown(ticket, refusal)
 
-    def _add_ticket(self, ticket: Ticket, refusal: Refusal) -> Refusal:
+    def _attach_new_ticket(self, ticket: Ticket, refusal: Refusal) -> Refusal:
         """Add a new ticket to a "not run" refusal, so that the caller can retry."""
         if refusal.ran != Ran.NOT_RUN:
             return refusal
         fresh = self._ledger.issue_retry(ticket.operation, now=time.monotonic())
         return refusal._replace(ticket=fresh)
 
-    def _keep(self, ticket: Ticket, answer: Answer) -> Answer:
+    def _store_for_repeats(self, ticket: Ticket, answer: Answer) -> Answer:
         """Return a copy of the answer that also stores it, if small, for repeats of the call."""
         parts: list[bytes] = []
 
@@ -331,7 +331,7 @@
             try:
                 for piece in answer:
                     size += len(piece)
-                    if size <= KEPT_BODY:
+                    if size <= KEPT_BODY_BYTES:
                         parts.append(piece)
                     else:
                         parts.clear()
@@ -352,7 +352,7 @@
         copied.attempts, copied.passed_over = answer.attempts, answer.passed_over
         # Read a small answer now: it is stored whole even if the caller disconnects.
         try:
-            copied.prefetch(KEPT_BODY)
+            copied.prefetch(KEPT_BODY_BYTES)
         except RequestError as exc:
             raise RequestError(
                 refuse_unknown(
@@ -376,9 +376,9 @@
     return answer.status == 204 or lengths == ["0"]
 
 
-def _to_answer(line: TicketRecord) -> Answer:
+def _replay_answer(ledger_entry: TicketRecord) -> Answer:
     """Build an answer from the stored one, marked as a repeat."""
-    kept = line.answer
+    kept = ledger_entry.answer
     assert kept is not None
     headers = (*kept.headers, ("Halldoor-Repeated", "yes"))
     return Answer(kept.status, headers, iter([kept.body]), target="", on_end=lambda _: None)
--- a/halldoor/entry/probe.py
+++ b/halldoor/entry/probe.py
@@ -16,17 +16,17 @@
 from halldoor.core.placement import rank
 from halldoor.core.steering.configuration import Target
 from halldoor.core.steering.snapshot import Snapshot
-from halldoor.entry.hall import HallRoom
+from halldoor.entry.hall import AdmissionController
 from halldoor.entry.task import Task
 from halldoor.keyvalue.base import Platform
 
 PROBE_TIMEOUT_S = 0.5
-PROBERS = 2
+PROBERS_PER_TARGET = 2
 """Number of entries that probe each target; the others use their reports in heartbeats."""
-FAILURES_TO_BELIEVE = 2
+UNHEALTHY_AFTER_FAILURES = 2
 """Failed probes in a row after which a target counts as unhealthy."""
-HOST_LIST_S = 1.0
-COLD_AGE_S = 5.0
+HOST_LIST_PERIOD_S = 1.0
+MAX_COLD_AGE_S = 5.0
 """Seconds of age below which a target can count as restarted, and so as cold."""
 
 
@@ -38,7 +38,7 @@
     load: float = 0.0
 
 
-class _Seen(NamedTuple):
+class _ProbeHistory(NamedTuple):
     """Results of the last probes of a target: failures in a row, leaving, age in seconds."""
 
     failures: int
@@ -51,9 +51,9 @@
 
     Parameters
     ----------
-    me : str
+    entry_name : str
         Name of this entry.
-    room : HallRoom
+    controller : AdmissionController
         Receives the results of probes and of peers' reports.
     platform : Platform
         The key-value service, which keeps the host list.
@@ -67,8 +67,8 @@
 
     def __init__(
         self,
-        me: str,
-        room: HallRoom,
+        entry_name: str,
+        controller: AdmissionController,
         *,
         platform: Platform,
         list_alive: Callable[[], list[Member]],
@@ -76,15 +76,15 @@
         period_s: float,
     ) -> None:
         super().__init__("probe", period_s=period_s)
-        self._me = me
-        self._room = room
+        self._entry_name = entry_name
+        self._controller = controller
         self._platform = platform
         self._list_alive = list_alive
         self._is_relay = is_relay
         self._snapshot: Snapshot | None = None
         self._lock = threading.Lock()
-        self._seen: dict[str, _Seen] = {}
-        self._said_leaving: frozenset[str] = frozenset()
+        self._history: dict[str, _ProbeHistory] = {}
+        self._listed_leaving: frozenset[str] = frozenset()
         self._host_list_at = 0.0
         self._pool = urllib3.PoolManager(num_pools=64, maxsize=1, retries=False)
         self._workers = ThreadPoolExecutor(max_workers=4, thread_name_prefix="probe")
@@ -102,16 +102,16 @@
         snapshot = self._snapshot
         if snapshot is None:
             return
-        list(self._workers.map(self._probe, self._choose(snapshot)))
+        list(self._workers.map(self._probe, self._choose_targets(snapshot)))
         self._read_host_list(snapshot)
 
-    def _choose(self, snapshot: Snapshot) -> list[Target]:
-        """List the targets that this entry is one of the `PROBERS` for."""
-        names = [self._me, *(m.name for m in self._list_alive())]
+    def _choose_targets(self, snapshot: Snapshot) -> list[Target]:
+        """List the targets that this entry is one of the `PROBERS_PER_TARGET` for."""
+        names = [self._entry_name, *(m.name for m in self._list_alive())]
         return [
             target
             for name, target in snapshot.hall_targets.items()
-            if self._me in rank(f"probe\0{name}", names)[:PROBERS]
+            if self._entry_name in rank(f"probe\0{name}", names)[:PROBERS_PER_TARGET]
         ]
 
     def _probe(self, target: Target) -> None:
@@ -127,22 +127,22 @@
             health = msgspec.json.decode(response.data, type=TargetHealth)
         except (urllib3.exceptions.HTTPError, OSError, msgspec.MsgspecError):
             health = TargetHealth(state="failing")
-        self._note(target.name, health)
+        self._record_probe(target.name, health)
 
-    def _note(self, name: str, health: TargetHealth) -> None:
+    def _record_probe(self, name: str, health: TargetHealth) -> None:
         """Record a probe's result here and in the hall's health table."""
         is_bad = health.state not in ("ok", "leaving")
         with self._lock:
-            seen = self._seen.get(name, _Seen(0, False, 1e9))
+            seen = self._history.get(name, _ProbeHistory(0, False, 1e9))
             failures = seen.failures + 1 if is_bad else 0
             is_leaving = health.state == "leaving"
-            self._seen[name] = _Seen(failures, is_leaving, health.age_s)
-        if not is_bad and health.age_s < min(seen.age_s, COLD_AGE_S):
+            self._history[name] = _ProbeHistory(failures, is_leaving, health.age_s)
+        if not is_bad and health.age_s < min(seen.age_s, MAX_COLD_AGE_S):
             # A lower age than at the last probe means that it restarted, so its caches are cold.
-            self._room.mark_cold(name)
-        self._room.mark(
+            self._controller.mark_cold(name)
+        self._controller.record_health(
             name,
-            is_healthy=failures < FAILURES_TO_BELIEVE,
+            is_healthy=failures < UNHEALTHY_AFTER_FAILURES,
             is_leaving=is_leaving,
             load=health.load,
         )
@@ -152,40 +152,42 @@
         now = time.monotonic()
         if not self._is_relay():
             # The relays' reports are newer than what this entry read while it was a relay.
-            self._said_leaving = frozenset()
+            self._listed_leaving = frozenset()
             return
-        if now - self._host_list_at >= HOST_LIST_S:
+        if now - self._host_list_at >= HOST_LIST_PERIOD_S:
             self._host_list_at = now
             try:
                 hosts = self._platform.list_hosts()
-                self._said_leaving = frozenset(h.name for h in hosts if h.is_leaving)
+                self._listed_leaving = frozenset(h.name for h in hosts if h.is_leaving)
             except PlatformError:
                 # Keep the last list: a failed read doesn't mean that a leaving target came back.
                 pass
-        for name in self._said_leaving & snapshot.hall_targets.keys():
-            self._room.mark_leaving(name)
+        for name in self._listed_leaving & snapshot.hall_targets.keys():
+            self._controller.mark_leaving(name)
 
-    def hear(self, member: Member) -> None:
+    def apply_peer_reports(self, member: Member) -> None:
         """Apply a peer's target reports.
 
         "Leaving" always applies; health applies only to targets that this entry hasn't probed.
         """
         for report in member.reports:
             if report.is_leaving:
-                self._room.mark_leaving(report.target)
-            elif report.is_probed and report.target not in self._seen:
-                self._room.mark(report.target, is_healthy=report.is_healthy, is_leaving=False)
+                self._controller.mark_leaving(report.target)
+            elif report.is_probed and report.target not in self._history:
+                self._controller.record_health(
+                    report.target, is_healthy=report.is_healthy, is_leaving=False
+                )
 
     def build_reports(self) -> tuple[TargetReport, ...]:
         """Build the target reports for this entry's heartbeats."""
-        counts = self._room.count()
+        counts = self._controller.count_slots()
         with self._lock:
-            seen = dict(self._seen)
+            seen = dict(self._history)
         reports = []
         for name, count in counts.items():
             known = seen.get(name)
-            is_leaving = name in self._said_leaving or (known is not None and known.is_leaving)
-            is_healthy = known is None or known.failures < FAILURES_TO_BELIEVE
+            is_leaving = name in self._listed_leaving or (known is not None and known.is_leaving)
+            is_healthy = known is None or known.failures < UNHEALTHY_AFTER_FAILURES
             reports.append(
                 TargetReport(name, count.free, is_healthy, is_leaving, known is not None)
             )
--- a/halldoor/entry/process.py
+++ b/halldoor/entry/process.py
@@ -22,23 +22,23 @@
 from halldoor.core.settings import EntrySettings
 from halldoor.core.steering.configuration import EntryHost
 from halldoor.core.steering.snapshot import Snapshot
-from halldoor.entry.activity import Activity
+from halldoor.entry.activity import RunningRequests
 from halldoor.entry.cancel import CallerWatcher
-from halldoor.entry.claims import Claims
+from halldoor.entry.claims import ClaimTask
 from halldoor.entry.configuration import ConfigurationTask
 from halldoor.entry.dispatch import Dispatcher
-from halldoor.entry.gossip import Beat, GossipTask, find_entry
-from halldoor.entry.hall import HallRoom
-from halldoor.entry.loans import Loans
+from halldoor.entry.gossip import GossipTask, HeartbeatRequest, find_entry
+from halldoor.entry.hall import AdmissionController
+from halldoor.entry.loans import LoanTask
 from halldoor.entry.local import LocalHall
 from halldoor.entry.lookups import LookupTable
 from halldoor.entry.metrics import Metrics, read_gauges
 from halldoor.entry.orders import Orders
 from halldoor.entry.probe import ProbeTask
-from halldoor.entry.remote import RemoteEntry
-from halldoor.entry.sessions import Services, Session
+from halldoor.entry.remote import RequestForwarder
+from halldoor.entry.sessions import Session, SessionComponents
 from halldoor.entry.targets import TargetClient
-from halldoor.entry.web import Parts, WebApp
+from halldoor.entry.web import WebApp, WebComponents
 from halldoor.keyvalue.base import Platform
 from halldoor.keyvalue.client import HttpPlatform
 from halldoor.server import HttpServer
@@ -50,7 +50,7 @@
 
 STOP_LIMIT_S = 60.0
 """Most seconds that a stopping entry waits for its last request."""
-QUIET_S = 0.5
+IDLE_BEFORE_EXIT_S = 0.5
 """Seconds without any running request after which a stopping entry exits."""
 
 
@@ -75,12 +75,12 @@
         self._is_stopping = False
         self.peers = PeerPool(source_ip=settings.source_ip)
         self.watcher = CallerWatcher()
-        self.activity = Activity()
+        self.activity = RunningRequests()
         self.decisions = DecisionLog()
         self.metrics = Metrics()
         self._build_control(platform)
         self._build_requests(platform)
-        self._wire_up()
+        self._connect_components()
 
     @classmethod
     def from_config(cls, settings: EntrySettings) -> EntryProcess:
@@ -106,13 +106,13 @@
             on_snapshot=self._adopt,
             rotate_relays=s.rotate_relays,
         )
-        self.loans = Loans(
+        self.loans = LoanTask(
             s.name,
             peers=self.peers,
             list_lenders=self.gossip.list_alive,
             find_entry=self.find_entry,
         )
-        self.room = HallRoom(
+        self.controller = AdmissionController(
             s.name,
             policy=Policy.from_name(s.policy, random.Random(self.incarnation)),
             invariants=self.invariants,
@@ -122,7 +122,7 @@
         )
         self.probe = ProbeTask(
             s.name,
-            self.room,
+            self.controller,
             platform=platform,
             list_alive=self.gossip.list_alive,
             is_relay=self.configuration.is_relay,
@@ -133,8 +133,8 @@
         """Create the components that serve requests: dispatch, claims and orders."""
         s = self.settings
         self.targets = TargetClient()
-        self.local = LocalHall(self.room, self.targets, queue_s=s.queue_s)
-        remote = RemoteEntry(self.peers)
+        self.local = LocalHall(self.controller, self.targets, queue_s=s.queue_s)
+        remote = RequestForwarder(self.peers)
         self.dispatcher = Dispatcher(
             s.name,
             local=self.local,
@@ -142,7 +142,7 @@
             invariants=self.invariants,
             is_avoided=self.gossip.is_avoided,
         )
-        self.claims = Claims(platform, Claim(s.name, self.incarnation))
+        self.claims = ClaimTask(platform, Claim(s.name, self.incarnation))
         self.orders = Orders(
             Ledger(
                 s.name,
@@ -158,23 +158,23 @@
             invariants=self.invariants,
         )
 
-    def _wire_up(self) -> None:
+    def _connect_components(self) -> None:
         """Connect the components' callbacks, and create the wire and HTTP servers."""
         s = self.settings
         self.gossip.get_reports = self.probe.build_reports
-        self.gossip.on_reports = self.probe.hear
-        self.gossip.on_revision = self.configuration.hear_gossip
-        self.gossip.on_revisions = self.room.confirm_roster
+        self.gossip.on_reports = self.probe.apply_peer_reports
+        self.gossip.on_revision = self.configuration.receive_gossip
+        self.gossip.on_revisions = self.controller.confirm_roster
         self.gossip.on_change = self._refresh_lookups
         self.metrics.read_gauges = lambda: read_gauges(
             self.metrics,
-            room=self.room,
+            controller=self.controller,
             dispatcher=self.dispatcher,
             configuration=self.configuration,
             invariants=self.invariants,
         )
-        services = Services(
-            room=self.room,
+        services = SessionComponents(
+            room=self.controller,
             local=self.local,
             orders=self.orders,
             gossip=self.gossip,
@@ -186,7 +186,7 @@
         )
         self.wire = WireServer(s.wire, lambda sock: Session(services, sock))
         app = WebApp(
-            Parts(
+            WebComponents(
                 dispatcher=self.dispatcher,
                 orders=self.orders,
                 decisions=self.decisions,
@@ -210,7 +210,7 @@
 
     def _adopt(self, snapshot: Snapshot) -> None:
         """Apply a configuration snapshot to every component."""
-        self.room.adopt(snapshot)
+        self.controller.adopt(snapshot)
         self.dispatcher.adopt(snapshot)
         self.gossip.adopt(snapshot)
         self.probe.adopt(snapshot)
@@ -282,24 +282,24 @@
         log.info("Stopping; still serving callers with cached look-up answers.")
         self.gossip.set_flags(is_leaving=True)
         self._refresh_lookups()
-        self.gossip.tell(Beat())
+        self.gossip.enqueue(HeartbeatRequest())
         ends = time.monotonic() + self.settings.lookup_max_age_s + 2 * self.settings.gossip_period_s
         limit = time.monotonic() + STOP_LIMIT_S
         while time.monotonic() < ends:
             time.sleep(0.05)
         self._is_stopping = True
         quiet_since = time.monotonic()
-        while time.monotonic() < limit and time.monotonic() - quiet_since < QUIET_S:
+        while time.monotonic() < limit and time.monotonic() - quiet_since < IDLE_BEFORE_EXIT_S:
             if self._count_running():
                 quiet_since = time.monotonic()
             time.sleep(0.02)
-        self._end()
+        self._shut_down()
 
     def _count_running(self) -> int:
         """Count the requests and orders that still run in this process."""
-        return self.activity.count + self.room.count_in_flight() + self.orders.count_running()
+        return self.activity.count + self.controller.count_in_flight() + self.orders.count_running()
 
-    def _end(self) -> None:
+    def _shut_down(self) -> None:
         """Close the ports and stop the tasks."""
         cherrypy.engine.exit()
         for task in (self.probe, self.claims, self.loans, self.gossip, self.configuration):
@@ -320,7 +320,7 @@
 
     def get_status(self) -> dict[str, Any]:
         """Return this entry's state for operators, as served at ``/v1/status``."""
-        counts = self.room.count()
+        counts = self.controller.count_slots()
         return {
             "name": self.settings.name,
             "hall": self.settings.hall,
@@ -334,19 +334,19 @@
             ],
             "relays": self.configuration.choose_relays(),
             "targets": {
-                name: {**count._asdict(), "leaving": self.room.is_leaving(name)}
+                name: {**count._asdict(), "leaving": self.controller.is_leaving(name)}
                 for name, count in counts.items()
             },
             "moves": [
                 {"service": s, "cap_of": name, "total": t, "moved": m, "cap": cap}
                 for (s, name), (t, m, cap) in self.dispatcher.count_moves().items()
             ],
-            "slots_wait_for": self.room.list_pending(),
+            "slots_wait_for": self.controller.list_unconfirmed_entries(),
             "orders_running": self.orders.count_running(),
-            "loans": {"asked": self.loans.asked, "borrowed": self.loans.borrowed},
+            "loans": {"asked": self.loans.borrow_calls, "borrowed": self.loans.borrowed},
             "claims": {"claimed": self.claims.claimed, "writes": self.claims.writes},
             "control": {
-                "gossip_messages": self.gossip.messages,
+                "gossip_messages": self.gossip.messages_sent,
                 "probes": self.probe.probes,
                 "platform_calls": self.configuration.platform_calls,
                 "wire_sent_bytes": traffic.sent,
--- a/halldoor/entry/reader.py
+++ b/halldoor/entry/reader.py
@@ -12,7 +12,7 @@
 from halldoor.core.steering.configuration import Operation
 from halldoor.core.steering.snapshot import ServiceView, Snapshot
 from halldoor.entry.request import (
-    SMALL_BODY,
+    SMALL_BODY_BYTES,
     Body,
     Cancellation,
     Request,
@@ -20,7 +20,7 @@
     keep_end_to_end,
 )
 
-PIECE = 65_536
+PIECE_BYTES = 65_536
 
 
 def read_request(
@@ -88,7 +88,7 @@
     return refuse(Reason.BAD_REQUEST, message, retry_after_s=0.0)
 
 
-def qualify(refusal: Refusal, environ: dict[str, Any]) -> Refusal:
+def mark_outcome_unknown(refusal: Refusal, environ: dict[str, Any]) -> Refusal:
     """Change an order's "not run" refusal to "unknown", since its ticket or id was not checked."""
     is_order = "HTTP_HALLDOOR_TICKET" in environ or "HTTP_OPERATION_ID" in environ
     if not is_order or refusal.ran == Ran.UNKNOWN:
@@ -112,12 +112,12 @@
     return keep_end_to_end(found)
 
 
-_OWN_HEADERS = frozenset({"halldoor-ticket", "halldoor-deadline-ms", "halldoor-client"})
+_HALLDOOR_HEADERS = frozenset({"halldoor-ticket", "halldoor-deadline-ms", "halldoor-client"})
 
 
-def drop_own_headers(headers: tuple[tuple[str, str], ...]) -> tuple[tuple[str, str], ...]:
+def drop_halldoor_headers(headers: tuple[tuple[str, str], ...]) -> tuple[tuple[str, str], ...]:
     """Drop the headers that only halldoor uses, so that targets never receive a ticket."""
-    return tuple((k, v) for k, v in headers if k.lower() not in _OWN_HEADERS)
+    return tuple((k, v) for k, v in headers if k.lower() not in _HALLDOOR_HEADERS)
 
 
 def _read_deadline(headers: tuple[tuple[str, str], ...], operation: Operation) -> float | None:
@@ -154,22 +154,22 @@
     """Read a small body into memory; leave a larger one to be streamed."""
     if request.length == 0:
         return request, Body()
-    wanted = SMALL_BODY if request.length < 0 else min(request.length, SMALL_BODY)
+    wanted = SMALL_BODY_BYTES if request.length < 0 else min(request.length, SMALL_BODY_BYTES)
     try:
         first = _read_exactly(source, wanted)
     except (OSError, ValueError) as exc:
-        return _refuse_cut(type(exc).__name__)
+        return _refuse_incomplete_body(type(exc).__name__)
     is_short = len(first) < wanted
     if request.length < 0 and is_short:
         return request._replace(length=len(first)), Body(first)
     if is_short:
-        return _refuse_cut("it ended early")
+        return _refuse_incomplete_body("it ended early")
     if request.length == len(first):
         return request, Body(first)
     return request, Body(first, _read_rest(source, request.length - len(first), request.length < 0))
 
 
-def _refuse_cut(why: str) -> Refusal:
+def _refuse_incomplete_body(why: str) -> Refusal:
     """Refuse a request whose body is incomplete; none of it was sent to a target."""
     message = f"The request's body did not arrive: {why}. Send it again."
     return refuse(Reason.BAD_REQUEST, message)
@@ -190,7 +190,7 @@
 def _read_rest(source: Any, missing: int, is_chunked: bool) -> Iterator[bytes]:
     """Yield the rest of a streamed body; raise if the caller stops before its length."""
     while missing > 0 or is_chunked:
-        piece = source.read(PIECE if is_chunked else min(PIECE, missing))
+        piece = source.read(PIECE_BYTES if is_chunked else min(PIECE_BYTES, missing))
         if not piece:
             if is_chunked:
                 return
--- a/halldoor/entry/remote.py
+++ b/halldoor/entry/remote.py
@@ -17,7 +17,7 @@
     Body,
     Request,
     RequestError,
-    break_off,
+    build_broken_error,
     keep_end_to_end,
 )
 from halldoor.wire.client import PeerConnection, PeerPool
@@ -28,11 +28,11 @@
 """Kinds of forwarded request: to a target of the hall, or to the issuer of its ticket."""
 AVOID_S = 2.0
 """Seconds for which an unreachable entry is tried last."""
-CLOCK_ALLOWANCE_S = 0.3
+LATE_REFUSAL_S = 0.3
 """Seconds after the deadline in which the other entry's refusal may still arrive."""
 
 
-class RemoteEntry:
+class RequestForwarder:
     """Forwards requests to other entries, once each.
 
     Parameters
@@ -44,13 +44,13 @@
     def __init__(self, peers: PeerPool) -> None:
         self._peers = peers
         self._lock = threading.Lock()
-        self._avoid: dict[str, float] = {}
+        self._avoid_until: dict[str, float] = {}
 
-    def order(self, entries: list[EntryHost]) -> list[EntryHost]:
+    def order_by_reachability(self, entries: list[EntryHost]) -> list[EntryHost]:
         """Order entries so that recently unreachable ones come last."""
         now = time.monotonic()
         with self._lock:
-            return sorted(entries, key=lambda e: self._avoid.get(e.name, 0.0) > now)
+            return sorted(entries, key=lambda e: self._avoid_until.get(e.name, 0.0) > now)
 
     def send(
         self,
@@ -84,20 +84,20 @@
         """
         head = _build_head(request, kind=kind, selector=selector, ticket=ticket, is_spill=is_spill)
         refusal = refuse(Reason.BROKEN, "No entry of the hall can be reached. Retry later.")
-        for entry in self.order(entries):
+        for entry in self.order_by_reachability(entries):
             try:
                 connection = self._peers.open(entry.wire)
             except PeerError as exc:
-                self._note_unreachable(entry)
+                self._mark_unreachable(entry)
                 refusal = refuse(Reason.BROKEN, exc.message + " Retry in a second.")
                 continue
             return self._exchange(entry, connection, head, request, body)
         return Failure(HallRefusal(refusal, []))
 
-    def _note_unreachable(self, entry: EntryHost) -> None:
+    def _mark_unreachable(self, entry: EntryHost) -> None:
         """Try an entry last for `AVOID_S`."""
         with self._lock:
-            self._avoid[entry.name] = time.monotonic() + AVOID_S
+            self._avoid_until[entry.name] = time.monotonic() + AVOID_S
 
     def _exchange(
         self,
@@ -113,7 +113,7 @@
         try:
             started = connection.call(
                 "start",
-                timeout_s=request.get_remaining_s() + CLOCK_ALLOWANCE_S,
+                timeout_s=request.get_remaining_s() + LATE_REFUSAL_S,
                 head=head,
                 body=body.data if body.is_whole else b"",
                 whole=body.is_whole,
@@ -127,10 +127,10 @@
                 is_kept = True
                 return Failure(HallRefusal(refusal, passed_over, started.target or "", 0))
             is_kept = True
-            return Success(self._to_answer(entry, connection, started, request))
+            return Success(self._build_answer(entry, connection, started, request))
         except PeerError as exc:
             if not request.cancellation.is_cancelled:
-                self._note_unreachable(entry)
+                self._mark_unreachable(entry)
             return Failure(HallRefusal(_to_refusal(exc, request), []))
         finally:
             request.cancellation.detach(connection.close)
@@ -146,10 +146,10 @@
                 connection.call("write", timeout_s=request.get_remaining_s(), chunk=chunk)
                 index += 1
         return connection.call(
-            "finish", timeout_s=request.get_remaining_s() + CLOCK_ALLOWANCE_S, count=index
+            "finish", timeout_s=request.get_remaining_s() + LATE_REFUSAL_S, count=index
         )
 
-    def _to_answer(
+    def _build_answer(
         self, entry: EntryHost, connection: PeerConnection, started: Any, request: Request
     ) -> Answer:
         """Build the answer from the peer's reply; its body is read from the connection."""
@@ -201,14 +201,16 @@
         index += 1
         try:
             chunk = connection.call(
-                "read", timeout_s=request.get_remaining_s() + CLOCK_ALLOWANCE_S, index=index
+                "read", timeout_s=request.get_remaining_s() + LATE_REFUSAL_S, index=index
             )
         except PeerError as exc:
-            raise break_off(f"The answer broke off between halls: {exc.message}") from exc
+            raise build_broken_error(f"The answer broke off between halls: {exc.message}") from exc
         if chunk.refusal is not None:
             raise RequestError(from_refusal(chunk.refusal))
         if chunk.index != index:
-            raise break_off("A chunk of another answer arrived, so this answer is discarded.")
+            raise build_broken_error(
+                "A chunk of another answer arrived, so this answer is discarded."
+            )
         data, is_last = chunk.data or b"", chunk.last
 
 
--- a/halldoor/entry/request.py
+++ b/halldoor/entry/request.py
@@ -12,7 +12,7 @@
 from halldoor.core.explaining.decision import PassedOver
 
 Headers = tuple[tuple[str, str], ...]
-SMALL_BODY = 65_536
+SMALL_BODY_BYTES = 65_536
 """Bodies up to this many bytes are read before routing, so that they can be sent again."""
 
 DEADLINE_STEP_S = 0.001
@@ -128,32 +128,32 @@
     ----------
     data : bytes
         The whole body, or its first part.
-    rest : iterator of bytes, optional
+    remainder : iterator of bytes, optional
         The parts after ``data``.
     """
 
-    def __init__(self, data: bytes = b"", rest: Iterator[bytes] | None = None) -> None:
+    def __init__(self, data: bytes = b"", remainder: Iterator[bytes] | None = None) -> None:
         self.data = data
-        self._rest = rest
-        self._is_taken = False
+        self._remainder = remainder
+        self._is_read = False
 
     @property
     def is_whole(self) -> bool:
         """Whether the whole body is in memory."""
-        return self._rest is None
+        return self._remainder is None
 
     @property
-    def can_repeat(self) -> bool:
+    def can_resend(self) -> bool:
         """Whether the body can still be sent from its start."""
-        return self.is_whole or not self._is_taken
+        return self.is_whole or not self._is_read
 
     def read(self) -> Iterator[bytes]:
         """Yield the parts of the body; a streamed body can be read only once."""
-        self._is_taken = True
+        self._is_read = True
         if self.data:
             yield self.data
-        if self._rest is not None:
-            yield from self._rest
+        if self._remainder is not None:
+            yield from self._remainder
 
 
 class Answer:
@@ -187,10 +187,10 @@
         self.attempts = 1
         self._pieces = pieces
         self._on_end = [on_end]
-        self._held: list[bytes] = []
+        self._prefetched: list[bytes] = []
         self._is_ended = False
 
-    def add_end(self, on_end: Callable[[bool], None]) -> None:
+    def add_end_callback(self, on_end: Callable[[bool], None]) -> None:
         """Add a function to call once when reading ends."""
         self._on_end.append(on_end)
 
@@ -200,7 +200,7 @@
         while size < limit and not self._is_ended:
             piece = self._read()
             if piece:
-                self._held.append(piece)
+                self._prefetched.append(piece)
                 size += len(piece)
 
     def _read(self) -> bytes:
@@ -211,12 +211,12 @@
             self.close()
             raise
         if not piece:
-            self._end(True)
+            self._finish(True)
         return piece
 
     def __iter__(self) -> Iterator[bytes]:
-        yield from self._held
-        self._held = []
+        yield from self._prefetched
+        self._prefetched = []
         while not self._is_ended:
             piece = self._read()
             if piece:
@@ -224,9 +224,9 @@
 
     def close(self) -> None:
         """Discard the unread body; does nothing once the answer was read completely."""
-        self._end(False)
+        self._finish(False)
 
-    def _end(self, is_whole: bool) -> None:
+    def _finish(self, is_whole: bool) -> None:
         """Call the end callbacks, once."""
         if self._is_ended:
             return
@@ -245,6 +245,6 @@
     return next((v for k, v in headers if k.lower() == name), "")
 
 
-def break_off(message: str) -> RequestError:
+def build_broken_error(message: str) -> RequestError:
     """Build the error of a request whose connection broke after it may have run."""
     return RequestError(refuse_unknown(Reason.BROKEN, message, retry_after_s=1.0))
--- a/halldoor/entry/sessions.py
+++ b/halldoor/entry/sessions.py
@@ -17,12 +17,12 @@
 from halldoor.core.explaining.decision import DecisionLog
 from halldoor.core.steering.selector import Selector
 from halldoor.core.steering.snapshot import Snapshot
-from halldoor.entry.activity import Activity
+from halldoor.entry.activity import RunningRequests
 from halldoor.entry.cancel import CallerWatcher
 from halldoor.entry.configuration import ConfigurationTask
 from halldoor.entry.dispatch import Refused, Served
 from halldoor.entry.gossip import GossipTask
-from halldoor.entry.hall import HallRoom
+from halldoor.entry.hall import AdmissionController
 from halldoor.entry.local import LocalHall
 from halldoor.entry.orders import Orders
 from halldoor.entry.outcome import HallRefusal
@@ -39,21 +39,21 @@
 
 log = structlog.get_logger(part="sessions")
 
-QUEUED_CHUNKS = 4
+MAX_QUEUED_CHUNKS = 4
 """Chunks of a forwarded body that may wait in memory for a slow target."""
 
 
-class Services(NamedTuple):
+class SessionComponents(NamedTuple):
     """Components that handle calls from other entries."""
 
-    room: HallRoom
+    room: AdmissionController
     local: LocalHall
     orders: Orders
     gossip: GossipTask
     configuration: ConfigurationTask
     decisions: DecisionLog
     watcher: CallerWatcher
-    activity: Activity
+    activity: RunningRequests
     get_snapshot: Callable[[], Snapshot | None]
 
 
@@ -62,14 +62,14 @@
 
     Parameters
     ----------
-    services : Services
+    components : SessionComponents
         The components of this process.
     sock : socket.socket
         The connection, watched so that requests are cancelled when the other side disconnects.
     """
 
-    def __init__(self, services: Services, sock: socket.socket) -> None:
-        self._services = services
+    def __init__(self, components: SessionComponents, sock: socket.socket) -> None:
+        self._components = components
         self._sock = sock
         self._cancellation = Cancellation()
         self._answer: Answer | None = None
@@ -82,20 +82,22 @@
 
     def start(self, head: Any, body: bytes, whole: bool) -> Any:
         """Admit a forwarded request; if its whole body came along, also run it."""
-        if self._services.get_snapshot() is None and head.kind != TO_ISSUER:
-            return _start_refused(refuse(Reason.STARTING, "This entry is starting. Retry later."))
+        if self._components.get_snapshot() is None and head.kind != TO_ISSUER:
+            return _build_refusal_reply(
+                refuse(Reason.STARTING, "This entry is starting. Retry later.")
+            )
         self._cancellation = Cancellation()
         request = _to_request(head, self._cancellation)
         run = self._prepare(head, request)
         if isinstance(run, Failure):
-            return _start_refusal(run.failure())
-        self._begin()
+            return _build_failure_reply(run.failure())
+        self._mark_running()
         if whole:
-            with self._services.watcher.watch(self._sock, self._cancellation.cancel):
+            with self._components.watcher.watch(self._sock, self._cancellation.cancel):
                 return self._run(run.unwrap(), Body(body))
         self._body_index = 0
-        self._chunks = queue.Queue(QUEUED_CHUNKS)
-        streamed = Body(rest=self._read_chunks(self._chunks, request))
+        self._chunks = queue.Queue(MAX_QUEUED_CHUNKS)
+        streamed = Body(remainder=self._iterate_body(self._chunks, request))
         threading.Thread(
             target=lambda: self._result.put(self._run(run.unwrap(), streamed)),
             name="forwarded",
@@ -105,7 +107,7 @@
 
     def _prepare(self, head: Any, request: Request) -> Any:
         """Reserve a slot if the request is for a target, and return a function that runs it."""
-        services = self._services
+        services = self._components
         if head.kind == TO_ISSUER:
             ticket = head.ticket or ""
             return Success(lambda body: services.orders.run_forwarded(request, body, ticket))
@@ -116,12 +118,14 @@
             return admitted
         admission = admitted.unwrap()
         return Success(
-            lambda body: services.local.carry(admission, targets, request, body, is_spill=is_spill)
+            lambda body: services.local.send_admitted(
+                admission, targets, request, body, is_spill=is_spill
+            )
         )
 
     def _select(self, selector: str) -> list[str]:
         """List the names of the hall's targets that match a selector."""
-        snapshot = self._services.get_snapshot()
+        snapshot = self._components.get_snapshot()
         assert snapshot is not None
         wanted = Selector.from_text(selector)
         configuration = snapshot.configuration
@@ -131,17 +135,17 @@
             if wanted.matches(configuration.list_labels(target))
         ]
 
-    def _begin(self) -> None:
+    def _mark_running(self) -> None:
         """Count the request as running, until its answer was read or its connection closed."""
         if not self._is_counted:
             self._is_counted = True
-            self._services.activity.begin()
+            self._components.activity.add()
 
-    def _end(self) -> None:
+    def _mark_finished(self) -> None:
         """Count the request as finished, once."""
         if self._is_counted:
             self._is_counted = False
-            self._services.activity.end()
+            self._components.activity.remove()
 
     def _run(self, run: Callable[[Body], Any], body: Body) -> Any:
         """Run a request and build the reply to the forwarding entry."""
@@ -149,27 +153,27 @@
         try:
             result = run(body)
             if isinstance(result, Failure):
-                reply = _start_refusal(result.failure())
+                reply = _build_failure_reply(result.failure())
             else:
-                reply = self._start_answer(result.unwrap())
+                reply = self._build_answer_reply(result.unwrap())
             return reply
         except RequestError as exc:
-            return _start_refused(exc.refusal)
+            return _build_refusal_reply(exc.refusal)
         except Exception:
             # The forwarding entry waits for a reply, also if a separate thread runs the request.
             log.exception("A forwarded request failed with an unexpected error.")
             message = "The entry failed. Its log says more."
-            return _start_refused(refuse_unknown(Reason.BROKEN, message))
+            return _build_refusal_reply(refuse_unknown(Reason.BROKEN, message))
         finally:
             if reply is None or reply.answer is None or reply.answer.last:
-                self._end()
+                self._mark_finished()
 
-    def _start_answer(self, value: Served | Answer) -> Any:
+    def _build_answer_reply(self, value: Served | Answer) -> Any:
         """Build the reply with an answer's head and the first chunk of its body."""
         answer = value.answer if isinstance(value, Served) else value
         self._answer = answer
         self._pieces = iter(answer)
-        data, is_last = self._gather()
+        data, is_last = self._collect_chunk()
         self._answer_index = 1
         head = idl.AnswerHead(
             status=answer.status,
@@ -184,7 +188,7 @@
             admitted=True, answer=head, passed_over=to_passed_over(answer.passed_over)
         )
 
-    def _gather(self) -> tuple[bytes, bool]:
+    def _collect_chunk(self) -> tuple[bytes, bool]:
         """Return the next chunk of the answer's body, and whether it is the last."""
         parts: list[bytes] = []
         size = 0
@@ -196,7 +200,7 @@
             size += len(piece)
         return b"".join(parts), False
 
-    def _read_chunks(self, chunks: queue.Queue[bytes | None], request: Request) -> Iterator[bytes]:
+    def _iterate_body(self, chunks: queue.Queue[bytes | None], request: Request) -> Iterator[bytes]:
         """Yield the chunks of a streamed body as they arrive, until its end or the deadline."""
         while True:
             try:
@@ -234,7 +238,7 @@
             except queue.Full:
                 continue
         self._chunks = None
-        with self._services.watcher.watch(self._sock, self._cancellation.cancel):
+        with self._components.watcher.watch(self._sock, self._cancellation.cancel):
             return self._result.get()
 
     def read(self, index: int) -> Any:
@@ -243,12 +247,12 @@
             raise ValueError("chunk out of order")
         self._answer_index += 1
         try:
-            data, is_last = self._gather()
+            data, is_last = self._collect_chunk()
         except RequestError as exc:
-            self._end()
+            self._mark_finished()
             return idl.Chunk(index=index, data=b"", last=True, refusal=to_refusal(exc.refusal))
         if is_last:
-            self._end()
+            self._mark_finished()
         return idl.Chunk(index=index, data=data, last=is_last)
 
     def close(self) -> None:
@@ -256,12 +260,12 @@
         self._cancellation.cancel()
         if self._chunks is not None:
             # Wake the thread that waits for a chunk, so that it notices the cancellation.
-            self._drain()
+            self._put_end_marker()
         if self._answer is not None:
             self._answer.close()
-        self._end()
+        self._mark_finished()
 
-    def _drain(self) -> None:
+    def _put_end_marker(self) -> None:
         """Put the end marker into the chunk queue, dropping chunks if it is full."""
         chunks = self._chunks
         while chunks is not None:
@@ -276,42 +280,42 @@
 
     def exchange(self, gossip: Any) -> Any:
         """Merge a peer's membership records, and return this entry's."""
-        return self._services.gossip.answer(gossip)
+        return self._components.gossip.answer_exchange(gossip)
 
     def borrow(self, request: Any) -> Any:
         """Lend a peer a slot; a loan number of 0 means that none is free."""
         duration_s = request.duration_ms / 1000
-        loan = self._services.room.lend(request.targets, request.borrower, duration_s)
+        loan = self._components.room.lend(request.targets, request.borrower, duration_s)
         if loan is None:
             return idl.Loan(number=0, index=0, target="")
         return idl.Loan(number=loan.number, index=loan.key.number, target=loan.key.target)
 
     def give_back(self, target: str, number: int, borrower: str, rest_ms: int) -> None:
         """End a loan; its slot can be used again after ``rest_ms``."""
-        self._services.room.end_loan(number, borrower, rest_ms / 1000)
+        self._components.room.reclaim_lent_slot(number, borrower, rest_ms / 1000)
 
     def announce(self, head: Any, sender: str) -> int:
         """Receive a peer's announcement of a revision, and return the revision in force here."""
-        return self._services.configuration.hear(head.revision, sender)
+        return self._components.configuration.receive_announcement(head.revision, sender)
 
     def get_head(self) -> Any:
         """Return the head in force."""
-        return self._services.configuration.get_head_message()
+        return self._components.configuration.get_head_message()
 
     def get_part(self, digest: str) -> bytes:
         """Return a part of the configuration by digest; empty if it isn't here."""
-        return self._services.configuration.get_part(digest)
+        return self._components.configuration.get_part(digest)
 
     def get_ticket(self, operation_id: str, incarnation: str) -> Any:
         """Issue the ticket of an id that this process has claimed."""
-        issued = self._services.orders.issue_claimed(operation_id, incarnation)
+        issued = self._components.orders.issue_claimed(operation_id, incarnation)
         if isinstance(issued, Failure):
             return idl.TicketReply(ticket="", refusal=to_refusal(issued.failure()))
         return idl.TicketReply(ticket=issued.unwrap())
 
     def find_decision(self, decision_id: str) -> bytes:
         """Return an encoded decision record; empty if it isn't stored here."""
-        found = self._services.decisions.find(decision_id)
+        found = self._components.decisions.find(decision_id)
         return msgpack.encode(found) if found is not None else b""
 
 
@@ -333,16 +337,16 @@
     )
 
 
-def _start_refusal(failure: HallRefusal | Refused | Refusal) -> Any:
+def _build_failure_reply(failure: HallRefusal | Refused | Refusal) -> Any:
     """Build the refusing reply for a failure of a hall, the dispatcher or the orders."""
     if isinstance(failure, HallRefusal):
-        reply = _start_refused(failure.refusal)
+        reply = _build_refusal_reply(failure.refusal)
         reply.passed_over = to_passed_over(failure.passed_over)
         reply.target = failure.target
         return reply
-    return _start_refused(failure.refusal if isinstance(failure, Refused) else failure)
+    return _build_refusal_reply(failure.refusal if isinstance(failure, Refused) else failure)
 
 
-def _start_refused(refusal: Refusal) -> Any:
+def _build_refusal_reply(refusal: Refusal) -> Any:
     """Build the reply that carries a refusal."""
     return idl.Started(admitted=False, refusal=to_refusal(refusal), passed_over=[])
--- a/halldoor/entry/targets.py
+++ b/halldoor/entry/targets.py
@@ -16,10 +16,10 @@
 from urllib3.exceptions import ConnectTimeoutError, HTTPError, NewConnectionError
 
 from halldoor.core.steering.configuration import Target
-from halldoor.entry.request import Answer, Body, Request, break_off, keep_end_to_end
+from halldoor.entry.request import Answer, Body, Request, build_broken_error, keep_end_to_end
 
-PIECE = 65_536
-PREFETCH = 131_072
+PIECE_BYTES = 65_536
+PREFETCH_BYTES = 131_072
 """Bytes of a repeatable request's answer read ahead, so that a break in them can be retried."""
 STALL_SHARE = 0.4
 """Share of the time left when an answer begins, after which silence counts as a broken answer.
@@ -103,7 +103,7 @@
         except BaseException:
             connection.close()
             raise
-        answer = self._to_answer(target, connection, sock, response, request)
+        answer = self._build_answer(target, connection, sock, response, request)
         return answer, time.monotonic() - started
 
     def _open(self, target: Target, request: Request) -> HTTPConnection:
@@ -151,7 +151,7 @@
             connection.request(
                 request.method,
                 request.path,
-                body=_guard(body, request, connection),
+                body=_prepare_body(body, request, connection),
                 headers=_build_headers(request, body),
                 preload_content=False,
                 decode_content=False,
@@ -165,7 +165,7 @@
         finally:
             request.cancellation.detach(cancel)
 
-    def _to_answer(
+    def _build_answer(
         self,
         target: Target,
         connection: HTTPConnection,
@@ -182,7 +182,7 @@
 
         def end(is_whole: bool) -> None:
             if is_whole and request.is_repeatable and connection.sock is not None:
-                self._keep(target, connection)
+                self._keep_idle(target, connection)
             else:
                 with contextlib.suppress(*_FAULTS):
                     response.close()
@@ -196,7 +196,7 @@
             on_end=end,
         )
 
-    def _keep(self, target: Target, connection: HTTPConnection) -> None:
+    def _keep_idle(self, target: Target, connection: HTTPConnection) -> None:
         """Keep an idle connection for the next request, at most one per slot of the target."""
         with self._lock:
             idle = self._idle.setdefault(target.name, [])
@@ -238,14 +238,16 @@
     return headers
 
 
-def _guard(body: Body, request: Request, connection: HTTPConnection) -> Any:
+def _prepare_body(body: Body, request: Request, connection: HTTPConnection) -> Any:
     """Return the body for the library: bytes, or an iterator that enforces the deadline."""
     if body.is_whole:
         return body.data or None
-    return _guard_pieces(body, request, connection)
+    return _yield_until_deadline(body, request, connection)
 
 
-def _guard_pieces(body: Body, request: Request, connection: HTTPConnection) -> Iterator[bytes]:
+def _yield_until_deadline(
+    body: Body, request: Request, connection: HTTPConnection
+) -> Iterator[bytes]:
     """Yield the pieces of a streamed body; raise `TimeoutError` after the deadline."""
     for piece in body.read():
         remaining_s = request.get_remaining_s()
@@ -261,16 +263,16 @@
     size = 0
     while True:
         if request.cancellation.is_cancelled:
-            raise break_off("The caller disconnected during the answer.")
+            raise build_broken_error("The caller disconnected during the answer.")
         # The library closes its socket once the last byte has been read.
         remaining_s = request.get_remaining_s()
-        limit_s = min(remaining_s, stall_s) if size < PREFETCH else remaining_s
+        limit_s = min(remaining_s, stall_s) if size < PREFETCH_BYTES else remaining_s
         with contextlib.suppress(OSError):
             sock.settimeout(max(0.001, limit_s))
         try:
-            piece = response.read1(PIECE, decode_content=False)
+            piece = response.read1(PIECE_BYTES, decode_content=False)
         except _FAULTS as exc:
-            raise break_off(
+            raise build_broken_error(
                 f"The target's answer broke off ({type(exc).__name__}). Ask for it again."
             ) from exc
         if not piece:
--- a/halldoor/entry/task.py
+++ b/halldoor/entry/task.py
@@ -49,7 +49,7 @@
         """Whether the task was asked to stop."""
         return self._is_stopped.is_set()
 
-    def tell(self, message: M) -> None:
+    def enqueue(self, message: M) -> None:
         """Queue a message for the task; block while the queue is full."""
         self._inbox.put(message)
 
--- a/halldoor/entry/web.py
+++ b/halldoor/entry/web.py
@@ -20,13 +20,18 @@
     read_decision,
     sign_decision,
 )
-from halldoor.entry.activity import Activity
+from halldoor.entry.activity import RunningRequests
 from halldoor.entry.cancel import CallerWatcher
 from halldoor.entry.dispatch import Dispatcher, Refused, Served
 from halldoor.entry.lookups import LookupTable
 from halldoor.entry.metrics import Metrics
 from halldoor.entry.orders import Orders
-from halldoor.entry.reader import drop_own_headers, qualify, read_request, refuse_service
+from halldoor.entry.reader import (
+    drop_halldoor_headers,
+    mark_outcome_unknown,
+    read_request,
+    refuse_service,
+)
 from halldoor.entry.request import (
     Answer,
     Body,
@@ -37,11 +42,11 @@
 
 log = structlog.get_logger(part="web")
 
-RECORD_LIMIT = 8_000
+MAX_RECORD_CHARS = 8_000
 """Most characters of a decision record sent in a header; longer records are not sent."""
 
 
-class Parts(NamedTuple):
+class WebComponents(NamedTuple):
     """Components and functions that the HTTP interface uses."""
 
     dispatcher: Dispatcher
@@ -49,7 +54,7 @@
     decisions: DecisionLog
     metrics: Metrics
     watcher: CallerWatcher
-    activity: Activity
+    activity: RunningRequests
     get_lookups: Callable[[], LookupTable | None]
     get_status: Callable[[], dict[str, Any]]
     find_decision: Callable[[str], Decision | None]
@@ -68,8 +73,8 @@
 class WebApp:
     """The WSGI application of an entry."""
 
-    def __init__(self, parts: Parts) -> None:
-        self._parts = parts
+    def __init__(self, components: WebComponents) -> None:
+        self._components = components
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
         """Serve one HTTP request."""
@@ -78,7 +83,7 @@
             if path.startswith("/s/"):
                 return self._serve(environ, start_response)
             is_lookup = path == "/v1/lookup"
-            reply = self._look_up(environ) if is_lookup else self._control(path, environ)
+            reply = self._look_up(environ) if is_lookup else self._answer_control(path, environ)
         except Exception:
             log.exception("An HTTP request failed with an unexpected error.", path=path[:200])
             message = "The entry failed. Ask another entry; its log says more."
@@ -89,31 +94,31 @@
         """Answer a look-up from the table of cached answers."""
         query = parse_qs(environ.get("QUERY_STRING", ""))
         service = query.get("service", [""])[0]
-        table = self._parts.get_lookups()
+        table = self._components.get_lookups()
         if table is None:
             return to_reply(refuse(Reason.STARTING, "This entry is starting. Retry later."))
         client = query.get("client", [environ.get("REMOTE_ADDR", "")])[0]
         body = table.find(service, client)
         if body is None:
             return to_reply(refuse_service(service))
-        self._parts.metrics.add_lookup(service)
+        self._components.metrics.add_lookup(service)
         return Reply(200, body)
 
-    def _control(self, path: str, environ: dict[str, Any]) -> Reply:
+    def _answer_control(self, path: str, environ: dict[str, Any]) -> Reply:
         """Answer tickets, metrics, status, explanations and health checks."""
         query = {k: v[0] for k, v in parse_qs(environ.get("QUERY_STRING", "")).items()}
         if path == "/v1/tickets":
             return self._get_ticket(environ, query)
         if path == "/metrics":
             return Reply(
-                200, self._parts.metrics.render(), content_type="text/plain; version=0.0.4"
+                200, self._components.metrics.render(), content_type="text/plain; version=0.0.4"
             )
         if path == "/v1/status":
-            return Reply(200, msgspec.json.encode(self._parts.get_status()))
+            return Reply(200, msgspec.json.encode(self._components.get_status()))
         if path == "/v1/explain":
             return self._explain(query)
         if path == "/health":
-            state = self._parts.get_status()["state"]
+            state = self._components.get_status()["state"]
             return Reply(200 if state == "serving" else 503, msgspec.json.encode({"state": state}))
         return to_reply(
             refuse(
@@ -128,7 +133,7 @@
         if environ["REQUEST_METHOD"] != "POST":
             message = "Tickets are issued by POST, so that no cache keeps one."
             return to_reply(refuse(Reason.BAD_REQUEST, message, retry_after_s=0.0))
-        issued = self._parts.orders.get_ticket(query.get("operation_id", ""))
+        issued = self._components.orders.get_ticket(query.get("operation_id", ""))
         if isinstance(issued, Failure):
             return to_reply(issued.failure())
         body = msgspec.json.encode({"ticket": issued.unwrap()})
@@ -138,9 +143,11 @@
         """Explain a decision, given its signed record, or its id while an entry still keeps it."""
         try:
             if "record" in query:
-                found: Decision | None = read_decision(query["record"], self._parts.decision_key)
+                found: Decision | None = read_decision(
+                    query["record"], self._components.decision_key
+                )
             else:
-                found = self._parts.find_decision(query.get("id", ""))
+                found = self._components.find_decision(query.get("id", ""))
         except DecisionError as exc:
             return to_reply(refuse(Reason.BAD_REQUEST, str(exc), retry_after_s=0.0))
         if found is None:
@@ -149,32 +156,34 @@
                 "Ask with the Halldoor-Decision-Record header instead."
             )
             return to_reply(refuse(Reason.UNKNOWN_SERVICE, message, retry_after_s=0.0))
-        body = {"decision": msgspec.to_builtins(_name_fields(found)), "sentences": explain(found)}
+        body = {"decision": msgspec.to_builtins(_to_fields(found)), "sentences": explain(found)}
         return Reply(200, msgspec.json.encode(body))
 
     def _serve(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
         """Serve a request for a service, and count it as running until its answer ends."""
-        activity = self._parts.activity
-        activity.begin()
+        activity = self._components.activity
+        activity.add()
         is_streaming = False
         try:
-            pieces = self._answer(environ, start)
-            is_streaming = isinstance(pieces, _Stream)
+            pieces = self._serve_uncounted(environ, start)
+            is_streaming = isinstance(pieces, _AnswerBody)
             return pieces
         finally:
             if not is_streaming:
-                activity.end()
+                activity.remove()
 
-    def _answer(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
+    def _serve_uncounted(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
         """Read a request for a service, run it, and start its answer."""
         started = time.monotonic()
-        read = read_request(environ, self._parts.dispatcher.snapshot)
+        read = read_request(environ, self._components.dispatcher.snapshot)
         if isinstance(read, Refusal):
-            return _send(start, to_reply(qualify(read, environ), close=True))
+            return _send(start, to_reply(mark_outcome_unknown(read, environ), close=True))
         request, body = read
         ticket = find_header(request.headers, "halldoor-ticket")
-        request = request._replace(headers=drop_own_headers(request.headers))
-        with self._parts.watcher.watch(environ.get("halldoor.socket"), request.cancellation.cancel):
+        request = request._replace(headers=drop_halldoor_headers(request.headers))
+        with self._components.watcher.watch(
+            environ.get("halldoor.socket"), request.cancellation.cancel
+        ):
             outcome = self._run(request, body, ticket)
         latency_s = time.monotonic() - started
         return self._reply(outcome, request, body, start, latency_s)
@@ -185,9 +194,9 @@
         """Dispatch a repeatable request directly, and any other one as an order."""
         try:
             if request.is_repeatable:
-                result: Any = self._parts.dispatcher.serve(request, body)
+                result: Any = self._components.dispatcher.serve(request, body)
             else:
-                result = self._parts.orders.run(request, body, ticket)
+                result = self._components.orders.run(request, body, ticket)
         except RequestError as exc:
             return exc.refusal
         value: Served | Answer | Refused | Refusal
@@ -203,17 +212,17 @@
         latency_s: float,
     ) -> Iterable[bytes]:
         """Start the HTTP answer of an outcome, and return its body."""
-        extra = self._record(outcome, request)
+        extra = self._store_decision(outcome, request)
         if isinstance(outcome, Served | Answer):
             answer = outcome.answer if isinstance(outcome, Served) else outcome
-            self._parts.metrics.add_request(request.service, "served", latency_s)
+            self._components.metrics.add_request(request.service, "served", latency_s)
             # A target that answers with a server error may or may not have run the request.
             ran = "ran" if answer.status < 500 else Ran.UNKNOWN.value
             headers = [*answer.headers, *extra, ("Halldoor-Ran", ran)]
             start(f"{answer.status} {_get_phrase(answer.status)}", headers)
-            return _Stream(answer, request, self._parts.activity)
+            return _AnswerBody(answer, request, self._components.activity)
         refusal = outcome.refusal if isinstance(outcome, Refused) else outcome
-        self._parts.metrics.add_request(request.service, refusal.reason.value, latency_s)
+        self._components.metrics.add_request(request.service, refusal.reason.value, latency_s)
         # Only at debug level: overload causes thousands of refusals, which metrics count and
         # decisions explain.
         log.debug(
@@ -226,30 +235,30 @@
         reply = to_reply(refusal, decision=request.id, close=not body.is_whole)
         return _send(start, reply._replace(headers=(*reply.headers, *extra)))
 
-    def _record(
+    def _store_decision(
         self, outcome: Served | Answer | Refused | Refusal, request: Request
     ) -> list[tuple[str, str]]:
         """Store the decision, and return the headers with its id and signed record."""
         headers = [("Halldoor-Decision", request.id)]
         if isinstance(outcome, Served | Refused):
-            self._parts.decisions.add(outcome.decision)
-            record = sign_decision(outcome.decision, self._parts.decision_key)
-            if len(record) <= RECORD_LIMIT:
+            self._components.decisions.add(outcome.decision)
+            record = sign_decision(outcome.decision, self._components.decision_key)
+            if len(record) <= MAX_RECORD_CHARS:
                 headers.append(("Halldoor-Decision-Record", record))
         return headers
 
 
-class _Stream:
+class _AnswerBody:
     """The body of an answer, as the WSGI server iterates over it.
 
     If the body breaks off, the error reaches the server, which closes the connection without
     the terminator or length that HTTP requires, so the caller detects a truncated answer.
     """
 
-    def __init__(self, answer: Answer, request: Request, activity: Activity) -> None:
+    def __init__(self, answer: Answer, request: Request, activity: RunningRequests) -> None:
         self._answer = answer
         self._request = request
-        self._activity: Activity | None = activity
+        self._activity: RunningRequests | None = activity
 
     def __iter__(self) -> Iterator[bytes]:
         try:
@@ -267,7 +276,7 @@
         self._answer.close()
         activity, self._activity = self._activity, None
         if activity is not None:
-            activity.end()
+            activity.remove()
 
 
 def to_reply(refusal: Refusal, *, decision: str = "", close: bool = False) -> Reply:
@@ -308,7 +317,7 @@
     return _PHRASES.get(status, "Answer" if status < 400 else "Refused")
 
 
-def _name_fields(decision: Decision) -> dict[str, Any]:
+def _to_fields(decision: Decision) -> dict[str, Any]:
     """Return a decision as a dict of its fields, with names for the parts of passed_over."""
     fields = {name: getattr(decision, name) for name in decision.__struct_fields__}
     fields["passed_over"] = [{"name": p.name, "why": p.why} for p in decision.passed_over]
--- a/halldoor/tests/test_answers.py
+++ b/halldoor/tests/test_answers.py
@@ -22,7 +22,7 @@
 from halldoor.wire.protocol import decode_reply, encode_call, idl
 
 READ = "/s/decks/read"
-ROOM_LACKS = ("no room", "shift cap")
+NO_SLOT_REASONS = ("no room", "shift cap")
 """Refusal reasons for lack of free slots: in the hall, or there and a cap forbids other halls."""
 
 
@@ -44,7 +44,7 @@
         raise TimeoutError(f"{exc}; held: {list_held()}") from None
 
 
-def call_with_room(fleet, entry, path, **options):
+def call_until_admitted(fleet, entry, path, **options):
     """Call an entry, and retry while it refuses for lack of free slots, as callers do.
 
     The fleet is shared by the module: requests of earlier tests may still use slots.
@@ -54,20 +54,20 @@
         if response.status == 200:
             break
         refusal = json.loads(response.data)
-        if refusal["refused"] not in ROOM_LACKS:
+        if refusal["refused"] not in NO_SLOT_REASONS:
             break
         assert (refusal["ran"], refusal["retry_after_s"] > 0) == ("not run", True)
         time.sleep(0.05)
     return response
 
 
-class TestWholeAnswers:
+class TestCompleteAnswers:
     @pytest.fixture(autouse=True)
     def restore(self, two_halls):
         yield
         control_all(two_halls, truncate=0, stall=0, latency_s=0.01, shed_share=0.0)
 
-    def test_hundred_callers_get_their_own(self, two_halls):
+    def test_100_callers_get_their_own_answers(self, two_halls):
         """Some answers are truncated, and some callers disconnect, during the calls."""
         control_all(two_halls, truncate=3, latency_s=0.003)
         entries = ["a1-e1", "a1-e2", "b1-e1", "b1-e2"]
@@ -76,7 +76,7 @@
         def call(number):
             seed, size = f"seed-{number}", 1 + (number * 7919) % 400_000
             if number % 10 == 0:
-                abandon(two_halls, entries[number % 4])
+                start_and_disconnect(two_halls, entries[number % 4])
             path = f"{READ}/{number}?size={size}&seed={seed}"
             for _ in range(200):
                 response = two_halls.call(entries[number % 4], path)
@@ -94,7 +94,7 @@
         assert outcomes[200] == 400
 
     @pytest.mark.parametrize("fault", ["truncate", "stall"])
-    def test_broken_small_answer_is_asked_for_again(self, two_halls, fault):
+    def test_broken_small_answer_is_retried(self, two_halls, fault):
         # A retry needs a free slot at the other target; test_room.TestRetry covers the lack of one.
         wait_for_free_slots(two_halls, "a1-e1", "a1-e2", "b1-e1", "b1-e2")
         # Only one target of each hall is faulty, so that a retry can use the other one.
@@ -102,43 +102,43 @@
             two_halls.control(target, **{fault: 2})
         for number in range(6):
             path = f"{READ}/x?size=50000&seed=t{number}"
-            response = call_with_room(two_halls, "a1-e1", path)
+            response = call_until_admitted(two_halls, "a1-e1", path)
             assert (response.status, response.data) == (200, make_bytes(f"t{number}", 50_000))
 
     @pytest.mark.parametrize("entry", ["a1-e1", "a1-e2"])
-    def test_truncated_large_answer_is_seen_as_cut(self, two_halls, entry):
+    def test_truncated_large_answer_fails_at_the_caller(self, two_halls, entry):
         control_all(two_halls, truncate=9)
         with pytest.raises(Exception, match=r"IncompleteRead|broken|Incomplete"):
-            call_with_room(two_halls, entry, f"{READ}/x?size=3000000&seed=t")
+            call_until_admitted(two_halls, entry, f"{READ}/x?size=3000000&seed=t")
 
-    def test_truncated_across_halls_is_seen_as_cut(self, two_halls):
+    def test_answer_truncated_in_another_hall_fails_at_the_caller(self, two_halls):
         for target in ("a1-t1", "a1-t2"):
             two_halls.control(target, shed_share=1.0)
         for target in ("b1-t1", "b1-t2"):
             two_halls.control(target, truncate=9)
         with pytest.raises(Exception, match=r"IncompleteRead|broken|Incomplete"):
-            call_with_room(two_halls, "a1-e1", f"{READ}/x?size=3000000&seed=t")
+            call_until_admitted(two_halls, "a1-e1", f"{READ}/x?size=3000000&seed=t")
 
-    def test_late_answer_never_reaches_another(self, two_halls):
+    def test_late_answer_is_not_sent_to_the_next_request(self, two_halls):
         """An answer that arrives after its deadline must not be taken for the next request's."""
         control_all(two_halls, latency_s=0.3)
         for number in range(6):
             deadline = {"Halldoor-Deadline-Ms": "150"}
             path = f"{READ}/late?size=1000&seed=late"
-            late = call_with_room(two_halls, "a1-e1", path, headers=deadline)
+            late = call_until_admitted(two_halls, "a1-e1", path, headers=deadline)
             assert late.status == 504
             path = f"{READ}/x?size=1000&seed=n{number}&work_s=0"
-            own = call_with_room(two_halls, "a1-e1", path)
+            own = call_until_admitted(two_halls, "a1-e1", path)
             assert (own.status, own.data) == (200, make_bytes(f"n{number}", 1_000))
 
-    def test_caller_that_goes_away_cancels_at_the_target(self, two_halls):
+    def test_caller_disconnect_cancels_the_request_at_the_target(self, two_halls):
         def count_cancelled():
             names = [t["name"] for t in two_halls.configuration["targets"]]
             stats = [two_halls.get_json(n, "/stats") for n in names]
             return sum(s["outcomes"].get("cancelled", 0) for s in stats)
 
         before = count_cancelled()
-        abandon(two_halls, "a1-e1", work_s=2.5)
+        start_and_disconnect(two_halls, "a1-e1", work_s=2.5)
         deadline = time.monotonic() + 5
         while count_cancelled() == before and time.monotonic() < deadline:
             time.sleep(0.05)
@@ -165,9 +165,7 @@
             (0.05, Reason.BROKEN, 502),
         ],
     )
-    def test_a_peer_that_ends_within_the_last_millisecond_ended_at_the_deadline(
-        self, left_s, reason, status
-    ):
+    def test_break_within_1_ms_of_the_deadline_is_a_passed_deadline(self, left_s, reason, status):
         request = TimedRequest(
             "d1", "decks", "read", "GET", "/x", (), 0.0, 0, "", True, "", Cancellation()
         )
@@ -177,7 +175,7 @@
         assert [(r.reason, r.status) for r in (from_target, from_hall)] == [(reason, status)] * 2
 
 
-def abandon(fleet, entry, *, work_s=0.5):
+def start_and_disconnect(fleet, entry, *, work_s=0.5):
     """Start a request and disconnect after 0.1 s."""
     with socket.create_connection((IP, fleet.find_port(entry))) as sock:
         sock.sendall(f"GET {READ}/gone?work_s={work_s} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -212,7 +210,7 @@
             b"\x00\x00\x00\x20" + encode_call("get_part", 1, {"digest": "x"})[:-6] + b"\x7f" * 9,
         ],
     )
-    def test_bad_frames_leave_the_entry_alive(self, two_halls, data):
+    def test_invalid_frames_do_not_stop_the_entry(self, two_halls, data):
         wire = two_halls.configuration["halls"][0]["entries"][0]["wire"]["port"]
         with socket.create_connection((IP, wire)) as sock:
             sock.sendall(data)
@@ -239,31 +237,32 @@
             ("rubbish\r\n\r\n", 400),
         ],
     )
-    def test_clear_refusals(self, two_halls, head, status):
+    def test_invalid_requests_get_the_right_status(self, two_halls, head, status):
         with socket.create_connection((IP, two_halls.find_port("a1-e1"))) as sock:
             sock.sendall(head.encode())
             sock.settimeout(5)
             answer = sock.recv(4096)
         assert int(answer.split()[1]) == status
 
-    def test_no_room_at_home_may_be_refused_by_the_cap(self, two_halls):
+    def test_refusal_without_free_home_slot_may_name_the_cap(self, two_halls):
         """If no home slot is free and the cap is used up, the refusal may name the cap."""
         control_all(two_halls, latency_s=0.3)
         try:
             with ThreadPoolExecutor(24) as pool:
                 calls = [pool.submit(two_halls.call, "a1-e1", f"{READ}/x") for _ in range(24)]
             refused = [json.loads(c.result().data) for c in calls if c.result().status != 200]
-            assert {r["refused"] for r in refused} <= set(ROOM_LACKS)
+            assert {r["refused"] for r in refused} <= set(NO_SLOT_REASONS)
             assert "shift cap" in {r["refused"] for r in refused}
             with ThreadPoolExecutor(24) as pool:
                 again = [
-                    pool.submit(call_with_room, two_halls, "a1-e1", f"{READ}/x") for _ in range(24)
+                    pool.submit(call_until_admitted, two_halls, "a1-e1", f"{READ}/x")
+                    for _ in range(24)
                 ]
             assert {c.result().status for c in again} == {200}
         finally:
             control_all(two_halls, latency_s=0.01)
 
-    def test_slow_callers_do_not_stop_others(self, two_halls):
+    def test_slow_callers_do_not_block_other_callers(self, two_halls):
         port = two_halls.find_port("a1-e1")
         slow = [socket.create_connection((IP, port)) for _ in range(30)]
         try:
@@ -273,7 +272,7 @@
 
             def call():
                 # Eight concurrent calls exceed the entry's six slots.
-                results.append(call_with_room(two_halls, "a1-e1", f"{READ}/x").status)
+                results.append(call_until_admitted(two_halls, "a1-e1", f"{READ}/x").status)
 
             threads = [threading.Thread(target=call) for _ in range(8)]
             for thread in threads:
--- a/halldoor/tests/test_cancel.py
+++ b/halldoor/tests/test_cancel.py
@@ -18,7 +18,7 @@
         yield own, caller
 
 
-class LateEvents:
+class LateEpoll:
     """Fake epoll that reports a close event once, after the descriptor was reused."""
 
     def __init__(self, watcher, number):
@@ -36,7 +36,7 @@
 
 
 class TestCallerWatcher:
-    def test_a_caller_that_goes_away_is_noticed(self):
+    def test_caller_disconnect_calls_the_callback(self):
         watcher, is_gone = CallerWatcher(), threading.Event()
         watcher.start()
         with open_pair() as (own, caller), watcher.watch(own, is_gone.set):
@@ -44,7 +44,7 @@
             assert is_gone.wait(5.0)
         watcher.stop()
 
-    def test_one_that_stays_is_not_taken_for_the_one_that_had_its_number(self):
+    def test_reused_descriptor_does_not_cancel_a_connected_caller(self):
         """On a busy machine, a request was cancelled although its caller was still waiting.
 
         After the close event of one socket was read, its request finished and its descriptor
@@ -53,7 +53,7 @@
         """
         watcher, is_gone = CallerWatcher(), threading.Event()
         with open_pair() as (own, _):
-            watcher._epoll = LateEvents(watcher, own.fileno())
+            watcher._epoll = LateEpoll(watcher, own.fileno())
             with watcher.watch(own, is_gone.set):
                 watcher._run()
         assert not is_gone.is_set()
--- a/halldoor/tests/test_configuration.py
+++ b/halldoor/tests/test_configuration.py
@@ -15,13 +15,13 @@
 NAMES = [f"{hall}-e{i}" for hall in HALLS for i in (1, 2)]
 
 
-class Watcher(Background):
+class RevisionWatcher(Background):
     """Polls the entries' revisions, and records each decrease within one process."""
 
     def __init__(self, fleet, names):
         super().__init__(names)
         self.fleet = fleet
-        self.fallen = []
+        self.decreases = []
 
     def run(self, name):
         seen, incarnation = 0, ""
@@ -31,7 +31,7 @@
                 if status["incarnation"] != incarnation:
                     seen, incarnation = 0, status["incarnation"]
                 if status["revision"] < seen:
-                    self.fallen.append((name, seen, status["revision"]))
+                    self.decreases.append((name, seen, status["revision"]))
                 seen = status["revision"]
             time.sleep(0.02)
 
@@ -55,15 +55,15 @@
     return int(done.stdout.split("revision ")[1].split()[0])
 
 
-class TestEverywhere:
-    def test_in_force_at_every_entry(self, fleet):
-        with Watcher(fleet, NAMES) as watcher:
+class TestRevisions:
+    def test_revision_reaches_every_entry(self, fleet):
+        with RevisionWatcher(fleet, NAMES) as watcher:
             for i in range(4):
                 revision = drain(fleet, back=bool(i % 2))
                 fleet.wait_ready(*NAMES, revision=revision)
-        assert not watcher.fallen
+        assert not watcher.decreases
 
-    def test_two_operators_racing_with_lost_answers(self, fleet):
+    def test_concurrent_changes_with_lost_answers_each_count_once(self, fleet):
         start = max(fleet.get_revision(n) for n in NAMES)
         results = []
 
@@ -71,11 +71,11 @@
             for i in range(5):
                 name = f"race-{number}-{i}"
                 results.append(
-                    drain(fleet, HALLS_TARGETS[number], back=bool(i % 2), change_id=name)
+                    drain(fleet, DRAINED_TARGETS[number], back=bool(i % 2), change_id=name)
                 )
 
         fleet.set_faults(lose_answers=4)
-        with Watcher(fleet, NAMES) as watcher:
+        with RevisionWatcher(fleet, NAMES) as watcher:
             threads = [threading.Thread(target=operate, args=(n,)) for n in range(2)]
             for thread in threads:
                 thread.start()
@@ -83,7 +83,7 @@
                 thread.join()
             fleet.set_faults()
             fleet.wait_ready(*NAMES, revision=start + 10)
-        assert not watcher.fallen
+        assert not watcher.decreases
         assert sorted(results) == list(range(start + 1, start + 11))
 
     def test_cut_off_hall_keeps_serving_and_catches_up(self, fleet):
@@ -92,7 +92,7 @@
             fleet.cut("127.0.1.", f"127.0.{i}.")
         cut_off, others = NAMES[:2], NAMES[2:]
         before = fleet.get_revision(cut_off[0])
-        with Watcher(fleet, NAMES) as watcher:
+        with RevisionWatcher(fleet, NAMES) as watcher:
             try:
                 revision = drain(fleet, "c2-t1")
                 fleet.wait_ready(*others, revision=revision)
@@ -105,9 +105,9 @@
             finally:
                 fleet.heal()  # The tests after this one share the fleet.
             fleet.wait_ready(*NAMES, revision=revision)
-        assert not watcher.fallen
+        assert not watcher.decreases
 
-    def test_platform_down_restart_learns_from_peers(self, fleet):
+    def test_restarted_entry_fetches_from_peers_while_the_platform_is_down(self, fleet):
         revision = max(fleet.get_revision(n) for n in NAMES)
         fleet.set_faults(down=True)
         try:
@@ -121,10 +121,10 @@
             fleet.set_faults()
         assert fleet.get_revision("b1-e1") == revision
 
-    def test_relays_killed_and_platform_slow(self, fleet):
+    def test_revision_arrives_with_killed_relays_and_a_slow_platform(self, fleet):
         relays = {n for h in HALLS for n in fleet.get_json(f"{h}-e2", "/v1/status")["relays"][:1]}
         fleet.set_faults(slow_s=0.2)
-        with Watcher(fleet, NAMES) as watcher:
+        with RevisionWatcher(fleet, NAMES) as watcher:
             for name in sorted(relays)[:3]:
                 fleet.kill(name)
             revision = drain(fleet, "c2-t1", back=True)
@@ -134,7 +134,7 @@
             for name in sorted(relays)[:3]:
                 fleet.restart_entry(name)
             fleet.wait_ready(*NAMES, revision=revision)
-        assert not watcher.fallen
+        assert not watcher.decreases
 
     def test_only_a_few_entries_watch_the_platform(self, fleet):
         wait_until(
@@ -145,4 +145,4 @@
         assert len(watching) <= 2 * len(HALLS)
 
 
-HALLS_TARGETS = ["b2-t1", "c1-t1"]
+DRAINED_TARGETS = ["b2-t1", "c1-t1"]
--- a/halldoor/tests/test_fleet_start.py
+++ b/halldoor/tests/test_fleet_start.py
@@ -21,7 +21,7 @@
 
 
 class TestStart:
-    def test_the_platform_is_up_once_it_answers(self, monkeypatch):
+    def test_start_waits_until_the_platform_answers(self, monkeypatch):
         """The fleet's start failed when the stand-in platform's first answer was late.
 
         Its port is open some time before its threads serve it, and the first call to it has a
--- a/halldoor/tests/test_gossip.py
+++ b/halldoor/tests/test_gossip.py
@@ -7,7 +7,7 @@
 from halldoor.core.errors import PeerError
 from halldoor.core.hall.membership import Member, Membership
 from halldoor.core.settings import Address
-from halldoor.entry.gossip import SEEDS_ASKED, GossipTask
+from halldoor.entry.gossip import SEEDS_PER_PERIOD, GossipTask
 
 
 class SilentPeers:
@@ -28,18 +28,18 @@
 
 class TestSeeds:
     @pytest.mark.parametrize("count", [1, 2, 11, 24])
-    def test_every_seed_is_asked_in_turn(self, count):
+    def test_every_seed_is_contacted_in_rotation(self, count):
         """When seeds were drawn at random, the only reachable one was sometimes missed for 20 s."""
         peers = SilentPeers()
         seeds = [Address("127.0.0.1", port) for port in range(1, count + 1)]
         gossip = build_gossip(peers, seeds)
         for _ in range(3):
             peers.asked.clear()
-            for _ in range(math.ceil(count / SEEDS_ASKED)):
+            for _ in range(math.ceil(count / SEEDS_PER_PERIOD)):
                 gossip.tick()
             assert set(peers.asked) == set(seeds)
 
-    def test_entries_that_start_together_ask_different_seeds_first(self):
+    def test_entries_that_start_together_contact_different_seeds_first(self):
         seeds = [Address("127.0.0.1", port) for port in range(1, 200)]
         first = set()
         for incarnation in ("one", "two", "three"):
--- a/halldoor/tests/test_leaving.py
+++ b/halldoor/tests/test_leaving.py
@@ -24,7 +24,7 @@
     return read_stats(fleet, target)["outcomes"].get("answered", 0)
 
 
-def is_left_alone(fleet, entries, target):
+def is_known_leaving(fleet, entries, target):
     """Check whether every entry knows that the target leaves."""
     return all(fleet.get_json(e, "/v1/status")["targets"][target]["leaving"] for e in entries)
 
@@ -41,7 +41,7 @@
 
 class TestLeavingTarget:
     @pytest.mark.parametrize("source", ["operator", "host list", "target"])
-    def test_whoever_says_so(self, fleet, source):
+    def test_leaving_target_receives_no_new_requests(self, fleet, source):
         entries = ["a1-e1", "a1-e2"]
         with Flood(fleet, entries, callers=3) as flood:
             flood.wait_for(50)
@@ -53,7 +53,7 @@
                 )
             else:
                 fleet.control("a1-t1", leaving=True)
-            wait_until(lambda: is_left_alone(fleet, entries, "a1-t1"), what="leaving known")
+            wait_until(lambda: is_known_leaving(fleet, entries, "a1-t1"), what="leaving known")
             time.sleep(0.2)
             before = count_answered(fleet, "a1-t1")
             arrivals = fleet.get_json("a1-t1", "/stats")["arrivals_leaving"]
@@ -68,17 +68,17 @@
         fleet.control("a1-t1", leaving=False)
         assert fleet.run_cli("drain", "b1-t1").returncode == 0
         assert fleet.run_cli("drain", "a1-t1", "--back").returncode == 0
-        wait_until(lambda: not is_left_alone(fleet, entries[:1], "a1-t1"), what="back at e1")
-        wait_until(lambda: not is_left_alone(fleet, entries[1:], "a1-t1"), what="back at e2")
+        wait_until(lambda: not is_known_leaving(fleet, entries[:1], "a1-t1"), what="back at e1")
+        wait_until(lambda: not is_known_leaving(fleet, entries[1:], "a1-t1"), what="back at e2")
 
-    def test_in_a_hall_that_is_cut_off(self, fleet):
+    def test_leaving_target_in_a_cut_off_hall_receives_no_new_requests(self, fleet):
         fleet.cut("127.0.1.", "127.0.0.")
         fleet.cut("127.0.1.", "127.0.2.")
         with Flood(fleet, ["a1-e1", "a1-e2"], callers=3) as flood:
             flood.wait_for(50)
             fleet.control("a1-t1", leaving=True)
             wait_until(
-                lambda: is_left_alone(fleet, ["a1-e1", "a1-e2"], "a1-t1"), what="leaving known"
+                lambda: is_known_leaving(fleet, ["a1-e1", "a1-e2"], "a1-t1"), what="leaving known"
             )
             # Requests sent earlier may still run, but no new ones may arrive.
             time.sleep(0.2)
@@ -102,7 +102,7 @@
         ]
         assert len(busy) == 1
         assert fleet.run_cli("drain", busy[0]).returncode == 0
-        wait_until(lambda: is_left_alone(fleet, ["a1-e1"], busy[0]), what="leaving known")
+        wait_until(lambda: is_known_leaving(fleet, ["a1-e1"], busy[0]), what="leaving known")
         shown = fleet.run_cli("status").stdout
         assert f"Draining {busy[0]}: 1 in flight; waits for a1-e1: 1 request(s)" in shown
         caller.join()
@@ -143,7 +143,7 @@
 
 
 class TestPlannedStop:
-    def test_every_entry_of_a_hall_one_by_one(self, fleet):
+    def test_stopping_each_entry_of_a_hall_fails_no_request(self, fleet):
         """Callers with look-up answers cached before a stop must not fail either."""
         outcomes, is_over = [], threading.Event()
 
@@ -181,7 +181,7 @@
         for target in ("a1-t1", "a1-t2"):
             fleet.control(target, leaving=True)
         wait_until(
-            lambda: all(is_left_alone(fleet, ["a1-e1"], t) for t in ("a1-t1", "a1-t2")),
+            lambda: all(is_known_leaving(fleet, ["a1-e1"], t) for t in ("a1-t1", "a1-t2")),
             what="targets leaving",
         )
         outcomes = []
--- a/halldoor/tests/test_operators.py
+++ b/halldoor/tests/test_operators.py
@@ -93,7 +93,7 @@
             ("[" * 3000, "not YAML"),
         ],
     )
-    def test_validate_names_what_and_the_remedy(self, tmp_path, text, words):
+    def test_validate_reports_the_file_and_the_error(self, tmp_path, text, words):
         import subprocess
         import sys
 
--- a/halldoor/tests/test_orders.py
+++ b/halldoor/tests/test_orders.py
@@ -72,7 +72,7 @@
 class TestRepeats:
     """Repeated orders without faults; the tests share one fleet."""
 
-    def test_one_ticket_through_every_entry_at_once(self, two_halls):
+    def test_ticket_sent_to_all_entries_at_once_runs_once(self, two_halls):
         ticket = two_halls.get_ticket("a1-e1")
         outcomes = []
 
@@ -89,13 +89,13 @@
         assert {told for told, _ in outcomes} <= {"ran", "outcome unknown"}
         assert send(two_halls, "b1-e2", ticket=ticket) == ("ran", 200)
 
-    def test_reloaded_screen_repeats_its_id_without_a_ticket(self, two_halls):
+    def test_repeated_id_without_a_ticket_runs_once(self, two_halls):
         operation = make_id()
         outcomes = [send(two_halls, e, operation=operation) for e in ENTRIES * 2]
         assert outcomes == [("ran", 200)] * 8
         assert count_runs(two_halls)[operation] == 1
 
-    def test_two_callers_with_one_id_at_the_same_moment(self, two_halls):
+    def test_concurrent_calls_with_one_id_run_once(self, two_halls):
         ids = [make_id() for _ in range(20)]
         outcomes = {i: [] for i in ids}
 
@@ -141,7 +141,7 @@
         yield
         control_all(two_halls, shed_share=0.0, fail_after_run=0, cut_after_run=0, close_idle=False)
 
-    def test_shed_is_not_run_and_the_fresh_ticket_works(self, two_halls):
+    def test_shed_order_is_not_run_and_runs_with_the_new_ticket(self, two_halls):
         control_all(two_halls, shed_share=1.0)
         operation = make_id()
         response = two_halls.call(
@@ -173,7 +173,7 @@
         assert send(two_halls, "b1-e1", operation=operation)[0] == "outcome unknown"
         assert count_runs(two_halls)[operation] == 1
 
-    def test_connection_closed_just_as_the_order_goes_out(self, two_halls):
+    def test_connection_closed_while_sending_is_unknown(self, two_halls):
         control_all(two_halls, close_idle=True)
         operation = make_id()
         assert send(two_halls, "a1-e1", operation=operation)[0] == "outcome unknown"
@@ -181,7 +181,7 @@
         assert send(two_halls, "a1-e2", operation=operation)[0] == "outcome unknown"
         assert count_runs(two_halls)[operation] == 0
 
-    def test_body_half_sent_by_the_caller_runs_nothing(self, two_halls):
+    def test_incomplete_body_runs_nothing(self, two_halls):
         ticket = two_halls.get_ticket("a1-e1")
         port = two_halls.find_port("a1-e1")
         with socket.create_connection((IP, port)) as sock:
@@ -193,7 +193,7 @@
         time.sleep(0.3)
         assert count_runs(two_halls)[read_operation(ticket)] == 0
 
-    def test_deadline_is_unknown_and_never_sent_again(self, two_halls):
+    def test_passed_deadline_is_unknown_and_not_retried(self, two_halls):
         operation = make_id()
         outcome = send(two_halls, "a1-e1", operation=operation, query="?work_s=1", deadline_ms=200)
         assert outcome == ("outcome unknown", 504)
@@ -202,7 +202,7 @@
 
 
 class TestPlatform:
-    def test_outage_lets_tickets_run_and_tells_no_lie_of_ids(self, two_halls):
+    def test_platform_outage_runs_tickets_and_reports_ids_as_unknown(self, two_halls):
         ran_before = make_id()
         assert send(two_halls, "a1-e1", operation=ran_before) == ("ran", 200)
         two_halls.set_faults(down=True)
@@ -221,7 +221,7 @@
         assert (runs[fresh], runs[ran_before]) == (1, 1)
 
     @pytest.mark.parametrize("lost", [1, 2])
-    def test_claim_whose_answer_was_lost(self, two_halls, lost):
+    def test_claim_with_a_lost_answer_runs_once(self, two_halls, lost):
         two_halls.set_faults(lose_answers=lost)
         operation = make_id()
         outcomes = [send(two_halls, e, operation=operation) for e in ENTRIES]
@@ -229,7 +229,7 @@
         assert ("ran", 200) in outcomes
         assert count_runs(two_halls)[operation] == 1
 
-    def test_platform_that_answers_rubbish(self, two_halls):
+    def test_invalid_platform_answer_is_unknown_and_can_be_repeated(self, two_halls):
         two_halls.set_faults(rubbish=True)
         operation = make_id()
         assert send(two_halls, "a1-e1", operation=operation)[0] == "outcome unknown"
@@ -241,7 +241,7 @@
 class TestProcesses:
     """Faults of processes; each test has its own fleet."""
 
-    def test_issuer_killed_before_during_and_after(self, fleet):
+    def test_tickets_of_a_killed_issuer_are_unknown(self, fleet):
         before, during, after = (fleet.get_ticket("a1-e1") for _ in range(3))
         assert send(fleet, "a1-e2", ticket=after) == ("ran", 200)
         outcomes = []
@@ -266,7 +266,7 @@
         assert runs[read_operation(during)] <= 1
         assert runs[read_operation(after)] == 1
 
-    def test_entry_that_starts_says_no_more_than_it_knows(self, fleet):
+    def test_starting_entry_reports_orders_as_unknown(self, fleet):
         """An entry without a configuration answered 'not run' for an order that ran (soak test)."""
         ticket = fleet.get_ticket("a1-e1")
         assert send(fleet, "a1-e2", ticket=ticket) == ("ran", 200)
@@ -280,7 +280,7 @@
             assert send(fleet, name, ticket=ticket)[0] == "outcome unknown"
             assert send(fleet, name, operation=make_id())[0] == "outcome unknown"
 
-    def test_id_claimed_by_a_killed_entry(self, fleet):
+    def test_id_claimed_by_a_killed_entry_is_unknown(self, fleet):
         operation = make_id()
         assert send(fleet, "a1-e1", operation=operation) == ("ran", 200)
         fleet.kill("a1-e1")
@@ -290,7 +290,7 @@
         assert {send(fleet, e, operation=operation)[0] for e in ENTRIES} == {"outcome unknown"}
         assert count_runs(fleet)[operation] == 1
 
-    def test_issuer_frozen_past_every_lease_and_woken(self, fleet):
+    def test_orders_of_a_suspended_issuer_run_at_most_once(self, fleet):
         ticket, operation = fleet.get_ticket("a1-e1"), make_id()
         fleet.get_ticket("a1-e1", operation)
         fleet.signal("a1-e1", signal.SIGSTOP)
@@ -307,7 +307,7 @@
         assert runs[read_operation(ticket)] <= 1
         assert runs[operation] <= 1
 
-    def test_planned_stop_of_the_issuer_answers_the_order_under_way(self, fleet):
+    def test_stopping_issuer_finishes_the_running_order(self, fleet):
         ticket, late = fleet.get_ticket("a1-e1"), fleet.get_ticket("a1-e1")
         outcomes = []
         caller = threading.Thread(
--- a/halldoor/tests/test_room.py
+++ b/halldoor/tests/test_room.py
@@ -15,7 +15,7 @@
 from halldoor.core.steering.block import BlockTable
 from halldoor.core.steering.configuration import Configuration
 from halldoor.core.steering.snapshot import Snapshot
-from halldoor.entry.hall import HallRoom
+from halldoor.entry.hall import AdmissionController
 from halldoor.entry.local import LocalHall
 from halldoor.entry.request import Answer, Body, Cancellation, Request
 from halldoor.entry.targets import Fault, TargetFault
@@ -23,7 +23,7 @@
 from halldoor.standins.sample import make_configuration
 from halldoor.tests.background import Background
 from halldoor.tests.conftest import start_all
-from halldoor.tests.test_answers import abandon, wait_for_free_slots
+from halldoor.tests.test_answers import start_and_disconnect, wait_for_free_slots
 from halldoor.tests.test_orders import control_all
 
 READ = "/s/decks/read/x"
@@ -75,7 +75,7 @@
         yield fleet
 
 
-class TestRoom:
+class TestSlotLimits:
     def test_every_slot_is_used_and_none_twice(self, hall):
         """Under overload the entries use at least 11 slots, and no target exceeds its slots."""
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
@@ -91,7 +91,7 @@
         assert sum(s["greatest"] for s in read_stats(hall).values()) >= 11
         assert hall.get_json("a1-e1", "/v1/status")["loans"]["borrowed"] > 0
 
-    def test_cut_inside_the_hall(self, hall):
+    def test_partition_inside_the_hall_keeps_slot_limits(self, hall):
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(100)
             hall.cut("127.0.1.1", "127.0.1.2")
@@ -100,7 +100,7 @@
             flood.wait_for(100)
         assert_within_slots(hall)
 
-    def test_frozen_entry_that_wakes(self, hall):
+    def test_suspended_entry_that_resumes_keeps_slot_limits(self, hall):
         """An entry suspended for longer than the deadline must not use expired slots."""
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(100)
@@ -111,7 +111,7 @@
                 flood.wait_for(100)
         assert_within_slots(hall)
 
-    def test_killed_and_replaced_entry(self, hall):
+    def test_killed_and_restarted_entry_keeps_slot_limits(self, hall):
         with Flood(hall, ["a1-e1", "a1-e2"], path=f"{READ}?work_s=0.3") as flood:
             for _ in range(2):
                 flood.wait_for(40)
@@ -120,7 +120,7 @@
                 hall.wait_ready("a1-e1")
         assert_within_slots(hall)
 
-    def test_lying_reports_and_timeouts_and_callers_that_leave(self, hall):
+    def test_wrong_load_reports_and_broken_answers_keep_slot_limits(self, hall):
         """Targets report a load of 0, close connections after a run, and stall answers."""
         control_all(hall, report_load=0.0)
         path = f"{READ}?work_s=0.5"
@@ -130,18 +130,18 @@
             flood.wait_for(30)
         assert_within_slots(hall)
 
-    def test_target_that_goes_on_with_what_was_cancelled(self, hall):
+    def test_cancelled_requests_that_still_run_keep_slot_limits(self, hall):
         """A slot stays unused until the deadline if its caller disconnected before the answer."""
         control_all(hall, ignore_cancel=True)
         wait_until(lambda: knows_peer(hall, "a1-e1"), what="peer known")
         wait_for_free_slots(hall, "a1-e1")
         for _ in range(6):
-            abandon(hall, "a1-e1", work_s=0.8)
+            start_and_disconnect(hall, "a1-e1", work_s=0.8)
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
             flood.wait_for(100)
         assert_within_slots(hall)
 
-    def test_roster_change_while_a_former_entry_does_not_know(self, hall):
+    def test_moved_slots_wait_for_a_cut_off_former_owner(self, hall):
         """An entry takes over slots only once their former, cut-off owner has the new revision."""
         configuration = hall.configuration
         with Flood(hall, ["a1-e1", "a1-e2"]) as flood:
@@ -168,13 +168,13 @@
         assert_within_slots(hall)
 
 
-def build_room(*, targets):
+def build_controller(*, targets):
     """Build the admission of a hall with one entry and one slot per target."""
     data = make_configuration(halls={"a1": 1}, targets=targets, slots=1)
     snapshot = Snapshot.from_configuration(
         Configuration.from_data(data), revision=1, hall="a1", blocks=BlockTable()
     )
-    room = HallRoom(
+    controller = AdmissionController(
         "a1-e1",
         policy=Policy.from_name("random", random.Random(1)),
         invariants=Invariants(strict=True),
@@ -182,8 +182,8 @@
         give_back=lambda hold, rest_until: None,
         rest_at_start=False,
     )
-    room.adopt(snapshot)
-    return room
+    controller.adopt(snapshot)
+    return controller
 
 
 class FirstBreaksClient:
@@ -202,13 +202,13 @@
 
 class TestRetry:
     @pytest.mark.parametrize(("free_after_s", "is_served"), [(0.05, True), (0.6, False)])
-    def test_a_retry_waits_for_a_slot_as_the_first_attempt_may(self, free_after_s, is_served):
+    def test_retry_waits_for_a_slot_like_the_first_attempt(self, free_after_s, is_served):
         """If no slot is freed in that time, the refusal says that the request may have run."""
-        room, client = build_room(targets=2), FirstBreaksClient()
-        local = LocalHall(room, client, queue_s=0.3)
+        controller, client = build_controller(targets=2), FirstBreaksClient()
+        local = LocalHall(controller, client, queue_s=0.3)
         until = time.monotonic() + 60
-        busy = room.admit(["a1-t2"], until=until).unwrap()
-        timer = threading.Timer(free_after_s, room.release, [busy])
+        busy = controller.admit(["a1-t2"], until=until).unwrap()
+        timer = threading.Timer(free_after_s, controller.release, [busy])
         timer.start()
         result = local.serve(["a1-t1", "a1-t2"], make_read(until), Body(), is_spill=False)
         timer.join()
@@ -239,16 +239,16 @@
 
 
 class TestLoans:
-    def test_slot_of_a_borrower_that_died_comes_back_to_its_home(self):
+    def test_loan_of_a_dead_borrower_expires(self):
         """The loan expires at the next admission, without another loan request."""
-        room = build_room(targets=1)
-        assert room.lend(["a1-t1"], "a1-e2", 0.01) is not None
+        controller = build_controller(targets=1)
+        assert controller.lend(["a1-t1"], "a1-e2", 0.01) is not None
         until = time.monotonic() + 60
-        assert isinstance(room.admit(["a1-t1"], until=until), Failure)
+        assert isinstance(controller.admit(["a1-t1"], until=until), Failure)
         time.sleep(0.3)
-        assert isinstance(room.admit(["a1-t1"], until=until), Success)
+        assert isinstance(controller.admit(["a1-t1"], until=until), Success)
 
-    def test_a_loan_that_lapsed_is_reported_free_though_nobody_asks(self):
+    def test_expired_loan_is_reported_free_without_requests(self):
         """A slot stayed lent after the borrower's return message was lost.
 
         The loan expired only at the lender's next request.  An idle lender reported one free
@@ -257,11 +257,11 @@
             slots free: not within 20.0 s; held: [('b1-e2', 'b1-t2', {'home': 3, 'free': 2,
             'busy': 0, 'lent': 1, 'in_flight': 0, 'leaving': False})]
         """
-        room = build_room(targets=1)
-        assert room.lend(["a1-t1"], "a1-e2", 0.01) is not None
-        assert room.count()["a1-t1"].free == 0
+        controller = build_controller(targets=1)
+        assert controller.lend(["a1-t1"], "a1-e2", 0.01) is not None
+        assert controller.count_slots()["a1-t1"].free == 0
         time.sleep(0.3)
-        assert room.count()["a1-t1"].free == 1
+        assert controller.count_slots()["a1-t1"].free == 1
 
 
 def knows_peer(fleet, name):
@@ -270,7 +270,7 @@
 
 
 class TestRegions:
-    def test_failed_region_lands_on_the_other_without_overload(self):
+    def test_failed_region_does_not_overload_the_other(self):
         with Fleet.open() as fleet:
             configuration = make_configuration(halls={"a1": 2, "b1": 2}, deadline_s=DEADLINE_S)
             start_all(fleet, configuration)
--- a/halldoor/tests/test_shifts.py
+++ b/halldoor/tests/test_shifts.py
@@ -10,7 +10,7 @@
 from halldoor.tests.conftest import start_all
 
 ENTRIES = ["a1-e1", "a1-e2"]
-BIG = "10.9.9.9"
+BIG_BLOCK_ADDRESS = "10.9.9.9"
 
 
 def make_shift(name="to-b", *, cap=0.2, position=0.2, state="running"):
@@ -30,7 +30,9 @@
 
     def call(worker):
         for i in range(worker, count, 6):
-            client = BIG if i % 10 < big_share * 10 else f"10.{i % 200}.{i // 200 % 200}.1"
+            client = (
+                BIG_BLOCK_ADDRESS if i % 10 < big_share * 10 else f"10.{i % 200}.{i // 200 % 200}.1"
+            )
             response = fleet.call(
                 entries[i % len(entries)], "/s/decks/read/x", headers={"Halldoor-Client": client}
             )
@@ -44,7 +46,7 @@
     return outcomes
 
 
-def count_landed(fleet, region):
+def count_requests_in_region(fleet, region):
     """Count the requests that the targets of a region have run."""
     names = [t["name"] for t in fleet.configuration["targets"] if t["hall"][0] == region]
     return sum(fleet.get_json(n, "/stats")["runs"].get("(none)", 0) for n in names)
@@ -65,7 +67,7 @@
     def test_cap_holds_and_is_used(self, fleet, big_share):
         """The cap holds even if one client block has 40% of the traffic and is chosen to move."""
         assert set(send_reads(fleet, 600, big_share=big_share)) == {200}
-        landed = count_landed(fleet, "b")
+        landed = count_requests_in_region(fleet, "b")
         assert landed <= 0.2 * 600
         assert landed >= 0.05 * 600
 
@@ -77,7 +79,7 @@
         )
         fleet.wait_ready(*ENTRIES, revision=2)
         send_reads(fleet, 400, big_share=1.0)
-        assert count_landed(fleet, "b") <= 0.25 * 400
+        assert count_requests_in_region(fleet, "b") <= 0.25 * 400
 
     def test_two_shifts_and_failover_share_the_caps(self, fleet):
         shifts = [make_shift("one", cap=0.1, position=0.1), make_shift("two", cap=0.2)]
@@ -92,7 +94,7 @@
         outcomes = send_reads(fleet, 300)
         # Requests that may not move are refused with Retry-After, and no others fail.
         assert set(outcomes) <= {200, 503}
-        assert count_landed(fleet, "b") <= 0.1 * 600
+        assert count_requests_in_region(fleet, "b") <= 0.1 * 600
         response = fleet.call("a1-e1", "/s/decks/read/x")
         while response.status == 200:
             response = fleet.call("a1-e1", "/s/decks/read/x")
@@ -109,7 +111,7 @@
         done = fleet.run_cli("shift", "step", "to-b", "--position", "0.05")
         assert done.returncode == 0, done.stderr
         send_reads(fleet, 200)
-        assert count_landed(fleet, "b") <= 0.2 * 600
+        assert count_requests_in_region(fleet, "b") <= 0.2 * 600
 
     def test_step_whose_answer_was_lost_counts_once(self, fleet):
         fleet.set_faults(lose_answers=3)
@@ -125,6 +127,6 @@
         assert fleet.run_cli("shift", "step", "to-b", "--position", "0.2").returncode == 2
         assert fleet.run_cli("shift", "back", "to-b").returncode == 0
         fleet.wait_ready(*ENTRIES, revision=3)
-        before = count_landed(fleet, "b")
+        before = count_requests_in_region(fleet, "b")
         send_reads(fleet, 100)
-        assert count_landed(fleet, "b") == before
+        assert count_requests_in_region(fleet, "b") == before
