--- a/halldoor/core/explaining/history.py
+++ b/halldoor/core/explaining/history.py
@@ -125,7 +125,7 @@
 
 
 def _describe_request(line: LogLine) -> list[str]:
-    """Describe a request from the line that logged its end, with each attempt."""
+    """Describe a request from its log line, written when it finished, with each attempt."""
     fields = line.fields
     if "status" not in fields:
         detail = ", ".join(f"{k} {v}" for k, v in fields.items() if k != "id")
@@ -176,7 +176,7 @@
 
 
 def _describe_choice(attempt: dict[str, Any]) -> str:
-    """Describe why the target was chosen: its rank for the key, and the expected time."""
+    """Describe why the target was chosen: its position for the key, and the expected time."""
     if "expected_ms" not in attempt:
         return "no expected time logged"
     return (
--- a/halldoor/core/explaining/moves.py
+++ b/halldoor/core/explaining/moves.py
@@ -20,7 +20,7 @@
     Attributes
     ----------
     since_start_s : float
-        Begin of the window, in seconds since the entries' starts.
+        Start of the window, in seconds since the entries started.
     origin : str
         Region whose requests moved; empty if the log lines don't name it.
     entries : int
--- a/halldoor/core/explaining/report.py
+++ b/halldoor/core/explaining/report.py
@@ -16,17 +16,17 @@
 )
 
 WINDOW_S = 2.0
-"""Length of a window of the table by moments, in seconds: about the length of a short fault."""
+"""Length of a window of the table by time, in seconds: about the length of a short fault."""
 REASONS_SHOWN = 12
 """Most frequent reasons of refusals and failures that are listed; the others are counted."""
 SUSPECTS_SHOWN = 8
 """Requests suspected of crashing targets that are listed; the others are counted."""
 LEAST_LOST = 2
-"""Least number of targets lost while running a request for it to be listed: one may be chance."""
+"""Least number of targets whose answer was lost for a request to be listed: one may be chance."""
 
 
 class RequestOutcome(StrEnum):
-    """How a request finished for its caller: in or over its aimed time, refused or failed."""
+    """How a request finished for its caller: within its route's aim, late, refused or failed."""
 
     IN_AIM = "in aim"
     LATE = "late"
@@ -80,14 +80,14 @@
 
 
 class Suspect(NamedTuple):
-    """A request that is suspected of crashing targets: several were lost while running it.
+    """A request that is suspected of crashing targets: the answers of several were lost.
 
     Attributes
     ----------
     digest : str
         Digest of the request, the same for all its copies; see `quarantine.identity`.
     targets, entries : int
-        Number of targets that were lost while running it, and of entries that received it.
+        Number of targets whose answer to it was lost, and of entries that received it.
     answered : int
         Number of times that a target answered it.
     """
@@ -210,7 +210,7 @@
 
 
 def _list_suspects(requests: Iterable[_Request]) -> list[Suspect]:
-    """List the requests that several targets were lost while running, those with most first."""
+    """List the requests whose answer was lost at several targets, those with most targets first."""
     lost: defaultdict[str, set[str]] = defaultdict(set)
     entries: defaultdict[str, set[str]] = defaultdict(set)
     answered: defaultdict[str, int] = defaultdict(int)
--- a/halldoor/core/explaining/withdrawals.py
+++ b/halldoor/core/explaining/withdrawals.py
@@ -46,7 +46,7 @@
     at_s : float
         When that entry knew, in seconds of the lines' common clock.
     delays_s : tuple of float
-        How much later each other entry knew, in seconds, in rising order.
+        How much later each other entry knew, in seconds, in ascending order.
     slowest : str
         The entry that knew last.
     unaware : int
@@ -81,14 +81,14 @@
 
 
 class _Period(NamedTuple):
-    """The time from a withdrawal until the target is back, on the common clock.
+    """The time from a withdrawal until the target is used again, on the common clock.
 
     Attributes
     ----------
     first : _Run
         The first entry's process that knew of the withdrawal.
     since, until : float
-        Begin and end of the period, in seconds; infinite ``until`` if the target is not back.
+        Start and end of the period, in seconds; infinite ``until`` if it has not ended.
     revision : int
         Lowest revision of the store by which an entry knew of the withdrawal.
     known : dict of str to float
@@ -216,8 +216,8 @@
     def _find_applied_at(self, run: _Run, period: _Period) -> float | None:
         """Return when a run had applied all changes up to the withdrawal; None if never.
 
-        The line on the target itself may be missing: reading the whole store logs few targets, and
-        lines get lost.
+        The line on the target itself may be missing: a full read of the store logs few targets,
+        and log lines may be lost.
         """
         for at, revision in self._applied[run]:
             applied_at = self._to_common_time(run, at)
--- a/halldoor/core/hall/health.py
+++ b/halldoor/core/hall/health.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 FAILURES_TO_EJECT = 3
-"""Failures in a row that eject a target."""
+"""Consecutive failures that eject a target."""
 EJECT_S = 2.0
 """Length of a target's first ejection, in seconds; each further one takes twice as long."""
 EJECT_LIMIT_S = 30.0
@@ -23,7 +23,7 @@
 RAMP_S = 10.0
 """Time for which a target counts as cold, in seconds."""
 RAMP_FLOOR = 0.34
-"""Share of its slots that a target uses when its ramp starts."""
+"""Share of a target's slots that is used when its ramp-up starts."""
 LATENCY_WEIGHT = 0.2
 """Weight of a new answer in the moving average of latencies."""
 
@@ -86,7 +86,7 @@
         health.latency_s = old + LATENCY_WEIGHT * (latency_s - old)
 
     def add_failure(self, target: str, *, now: float) -> None:
-        """Record a failure; `FAILURES_TO_EJECT` in a row eject the target, longer each time."""
+        """Record a failure; `FAILURES_TO_EJECT` consecutive ones eject it, longer each time."""
         health = self._get_or_add(target)
         health.failures += 1
         if health.failures >= FAILURES_TO_EJECT:
@@ -115,7 +115,7 @@
         self._get_or_add(target).leaving_until = now + LEAVING_MEMORY_S
 
     def mark_cold(self, target: str, *, now: float) -> None:
-        """Start the ramp of a target that is new or has come back."""
+        """Start the ramp-up of a target that is new or has restarted."""
         self._get_or_add(target).cold_since = now
 
     def is_leaving(self, target: str, now: float) -> bool:
--- a/halldoor/core/hall/membership.py
+++ b/halldoor/core/hall/membership.py
@@ -1,6 +1,6 @@
 """Liveness of the hall's entries, from heartbeats that entries pass on to each other.
 
-Liveness decides which entries are asked for look-ups and loans and which serve as relays; it never
+Liveness decides which entries are used for look-ups, loans and relaying; it never
 decides who owns a slot or a ticket.
 """
 
--- a/halldoor/core/hall/policy.py
+++ b/halldoor/core/hall/policy.py
@@ -86,7 +86,7 @@
         self._turn = 0
 
     def order(self, views: Sequence[TargetView]) -> list[str]:
-        """Return the targets sorted by name, rotated by one more than the last time."""
+        """Return the targets sorted by name, starting one target later than in the last call."""
         names = sorted(v.name for v in views)
         self._turn += 1
         start = self._turn % len(names) if names else 0
--- a/halldoor/core/quarantine/collectors.py
+++ b/halldoor/core/quarantine/collectors.py
@@ -1,4 +1,4 @@
-"""Choice of the collectors: the few entries that add up the crashes caused by one request.
+"""Choice of the collectors: the few entries that count the crashes caused by one request.
 
 A request that crashes targets is retried at any entry, so each entry sees only some of its
 attempts.  Broadcasting every crash would cost one message per entry, also for each of the hundreds
--- a/halldoor/core/quarantine/quarantine.py
+++ b/halldoor/core/quarantine/quarantine.py
@@ -21,7 +21,7 @@
 from halldoor.core.quarantine.watch import TrackedRequest
 
 TRACKED_KEPT = 4096
-"""Requests whose crashes are kept, about 2 MB; the bound holds whatever callers send."""
+"""Most requests whose crashes are kept, about 2 MB, so that callers can't exhaust the memory."""
 ANSWERS_KEPT = 4096
 """Requests whose last answer is kept: about the last 50 s of a busy entry."""
 MIN_CRASHES = 2
--- a/halldoor/core/quarantine/unanswered.py
+++ b/halldoor/core/quarantine/unanswered.py
@@ -50,7 +50,7 @@
         Parameters
         ----------
         incarnation : str
-            Name of the target's incarnation (one start of it) that is gone.
+            Name of the crashed target's incarnation.
         """
         recent = [r for r in self._requests if r.at >= now - NOTICED_WITHIN_S]
         self._requests = deque(
--- a/halldoor/core/steering/revision.py
+++ b/halldoor/core/steering/revision.py
@@ -141,7 +141,7 @@
 
 
 def is_newer(head: Head, current: Head | None) -> bool:
-    """Check whether a head is newer than the current one: an entry never goes back."""
+    """Check whether a head is newer than the current one, since an entry applies no older one."""
     return current is None or head.revision > current.revision
 
 
--- a/halldoor/core/targets/budget.py
+++ b/halldoor/core/targets/budget.py
@@ -140,7 +140,7 @@
         limit : int
             Requests in a window that all entries together may send.
         entries : int
-            Entries that share it.
+            Entries that share the limit.
         rank : int
             Rank of this entry in the target's order of entries, from 0.
         """
--- a/halldoor/core/targets/catalog.py
+++ b/halldoor/core/targets/catalog.py
@@ -53,7 +53,7 @@
     version, members_version : int
         Incremented with each change that affects choices, and with each change of entries.
     lapsed : dict of str to Lapse
-        Targets whose record expired while the store was unavailable, and may be written again.
+        Targets whose record expired in an outage of the store, and may be written again.
     contact : StoreContact
         Times at which the store answered.
     store_contact_at : float
@@ -117,9 +117,9 @@
         Parameters
         ----------
         is_restored : bool, optional
-            The store was restored from an older copy.  Records that it lacks are kept until their
-            writers had time to write them again, and targets that left after the copy was made
-            are not added again.
+            Whether the store was restored from an older copy.  Records that it lacks are kept
+            until their writers had time to write them again, and targets that were removed after
+            the copy was made are not added again.
 
         Returns
         -------
@@ -175,7 +175,7 @@
         self.contact.record_answer(now)
 
     def _find_lapse(self, now: float) -> Lapse | None:
-        """Return how long to keep a target whose record an outage let expire; None to drop it."""
+        """Return how long to keep a target whose record expired in an outage; None if in none."""
         outage, settle_s = self.contact.find_outage(now), self.timings.settle_s
         if now <= self._restored_at:
             return Lapse(now + settle_s, outage.length_s)
@@ -183,7 +183,7 @@
         return lapse if lapse.away_s >= self.timings.lapse_s and now < lapse.until else None
 
     def drop_lapsed(self, now: float) -> list[str]:
-        """Drop the targets whose expired record was not written again in time; return them."""
+        """Drop lapsed targets whose record was not written again in time; return their names."""
         dropped = [name for name, lapse in self.lapsed.items() if now >= lapse.until]
         for name in dropped:
             self._drop(name)
@@ -192,7 +192,7 @@
         return dropped
 
     def pop_restart(self, incarnation: str) -> bool:
-        """Check, once per start, whether a known target started again: its old data is void."""
+        """Check, once per start, whether a target restarted, so that its old data is invalid."""
         if incarnation not in self._restarted:
             return False
         self._restarted.discard(incarnation)
@@ -274,7 +274,7 @@
         # A record never shortens the cold time: the target may have written it before turning cold.
         was_cold = target.is_cold(now)
         target.cold_until = max(target.cold_until, cold_until)
-        # A draining target drains until it starts again: it never cancels its end.
+        # A draining target never returns to service without a restart.
         is_draining = record.is_draining or target.record.is_draining
         if is_draining and not target.is_draining:
             self._newly_withdrawn.append(target.start)
@@ -410,7 +410,7 @@
     def _assume_cold(self, hall: str, now: float) -> None:
         """Treat a hall's targets as cold, since they may have turned cold without a record of it.
 
-        One that turned cold by the end of the evacuation is warm after a cold start's duration.
+        A target that turned cold during the evacuation is warm again after a cold start's duration.
         """
         services = self.routing.services if self.routing is not None else {}
         for target in self._targets.values():
--- a/halldoor/core/targets/changes.py
+++ b/halldoor/core/targets/changes.py
@@ -19,7 +19,7 @@
     slots : int
         Requests that the target can run at a time.
     is_draining : bool
-        The target is about to stop and takes no new work.
+        Whether the target is about to stop and accepts no new requests.
     cold_left_s : float
         Time for which the target is still cold, in seconds.
     started_ms : int
--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -46,7 +46,7 @@
         Expected time until the first of the key's targets has a free slot, in seconds; 0 where it
         is not known.
     is_asked : bool
-        All targets asked this entry to back off, and the time is until the first back-off ends.
+        Whether all targets requested a back-off; the time is then that until the first one ends.
     """
 
     reason: str
@@ -193,9 +193,9 @@
         return NoTarget("no room", passed, min((w for w in waits if w > 0), default=0.0))
 
     def find_backoff(self, targets: Sequence[Target], now: float) -> float:
-        """Return the time until the first of some targets accepts requests again, in seconds.
+        """Return the time until the first of some targets ends its back-off, in seconds.
 
-        It is 0 where one of them has no back-off in force.
+        It is 0 if one of them has no back-off in force.
         """
         return min((self.backoffs.find_wait(target.start, now) for target in targets), default=0.0)
 
--- a/halldoor/core/targets/contact.py
+++ b/halldoor/core/targets/contact.py
@@ -149,9 +149,11 @@
         self._applied_until = max(self._applied_until, until)
 
     def find_outage(self, now: float) -> Outage:
-        """Return the outage in which a removal applied now may have happened; empty if in none.
+        """Return the outage in which a record whose removal arrives now may have expired.
 
-        Another entry's changes may arrive before its report of when the store answered.
+        It is the present time without answers if that is long enough, else the last outage if
+        removals in it may still arrive, else an outage of length 0.  Another entry's changes may
+        arrive before its report of when the store answered, so an outage may be known too late.
         """
         silent_from = self._silent_from if self._silent_from is not None else now
         began_at = max(silent_from, self._applied_until)
--- a/halldoor/core/targets/latency.py
+++ b/halldoor/core/targets/latency.py
@@ -22,7 +22,7 @@
 MEAN_WEIGHT = 0.03
 """Weight of the newest answer in the mean work: about the last thirty count."""
 TRAVEL_WEIGHT = 0.1
-"""Weight of a connect time longer than the known one; a shorter one replaces it at once."""
+"""Weight of a connect time longer than the average; a shorter one replaces the average at once."""
 WORK_PRIOR_S = 0.1
 """Work assumed for a kind of request before its first answer, in seconds."""
 KEY_PAIRS_KEPT = 20_000
@@ -39,7 +39,7 @@
     mean_s : float
         Mean over all requests, in seconds: the time for which a request occupies a slot.
     is_known : bool
-        The times were observed; otherwise they are assumed.
+        Whether the times were observed; otherwise they are assumed.
     """
 
     warm_s: float
@@ -121,8 +121,8 @@
         took_s : float
             Time from sending to the whole answer on an open connection, in seconds.
         has_waited : bool
-            The target was full when it was chosen, so that the time includes a wait and is not
-            used as a work time.
+            Whether the target was full when it was chosen, so that the time includes a wait and is
+            not used as a work time.
         """
         is_known = self.has_answered(target, key)
         if not has_waited:
--- a/halldoor/core/targets/leaving.py
+++ b/halldoor/core/targets/leaving.py
@@ -1,4 +1,4 @@
-"""Targets that state in their answers that they are leaving: about to stop, taking no new work.
+"""Targets that state in their answers that they are leaving: about to stop, refusing new requests.
 
 Load pattern: a planned stop during an outage of the store, so that no record shows it.  An answer
 is then the newest information.  A target that leaves doesn't return under its incarnation, even if
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 LEAVING_NOTICE_S = 30.0
-"""Time for which another entry's notice is believed, in seconds.  After it, a request of this entry
-shows whether the target leaves, so that a target named by mistake is used again."""
+"""Lifetime of a statement received from another entry, in seconds.  After it, the next answer to
+this entry shows whether the target is leaving, so that one named by mistake is used again."""
 STARTS_KEPT = 2000
 """Starts of targets that are remembered, in case their record is removed and written again."""
 
--- a/halldoor/core/targets/limits.py
+++ b/halldoor/core/targets/limits.py
@@ -23,7 +23,7 @@
 """Shortest time without a statement of a limit after which an entry sends a probe, a request beyond
 its share that shows whether the limit is still in force, in seconds."""
 PROBE_MIN_PER_S = 0.25
-"""Rate of probes a second that a target can bear from all entries together, at any limit."""
+"""Probes a second that a target can handle from all entries together, however low its limit."""
 PROBE_SPREAD = 0.5
 """Largest part by which an entry's time to its first probe is prolonged, to spread the probes."""
 
--- a/halldoor/core/targets/load.py
+++ b/halldoor/core/targets/load.py
@@ -75,7 +75,15 @@
 
     @classmethod
     def from_pace(cls, *, gap_s: float, work_s: float) -> DecayTimes:
-        """Compute it from the time between two reports of a target, and the service's work."""
+        """Compute the decay times from a target's report interval and its service's work time.
+
+        Parameters
+        ----------
+        gap_s : float
+            Time between two reports of a target, in seconds.
+        work_s : float
+            Mean work of a request of the service, in seconds.
+        """
         news_s = min(REPORT_DECAY_GAPS * gap_s, REPORT_DECAY_WORKS * work_s)
         return cls(
             max(REPORT_DECAY_MIN_S, news_s), max(AVERAGE_DECAY_MIN_S, AVERAGE_DECAY_GAPS * gap_s)
@@ -83,7 +91,7 @@
 
     @property
     def stale_after_s(self) -> float:
-        """Age from which a report hardly counts, only the average does, in seconds."""
+        """Age from which a report has little weight and the average decides, in seconds."""
         return 3 * self.news_s
 
 
@@ -198,7 +206,7 @@
         return average + (known.others - average) * math.exp(-age_s / decay.news_s)
 
     def get_stale_after_s(self, target: str) -> float:
-        """Return the age from which a target's report hardly counts, in seconds."""
+        """Return the age from which a target's report has little weight, in seconds."""
         known = self._loads.get(target)
         return DecayTimes().stale_after_s if known is None else known.pace.decay.stale_after_s
 
--- a/halldoor/core/targets/observation.py
+++ b/halldoor/core/targets/observation.py
@@ -51,7 +51,7 @@
     took_ms : int
         Time from sending to the whole answer on an open connection, in milliseconds.
     has_waited : bool
-        The target was full when it was chosen, so that the time includes a wait.
+        Whether the target was full when it was chosen, so that the time includes a wait.
     running, waiting, slots : int
         Load that the target reported, see `LoadReport`; slots are 0 if it reported none.
     """
--- a/halldoor/core/targets/order.py
+++ b/halldoor/core/targets/order.py
@@ -186,7 +186,7 @@
         ----------
         order : sequence of Target
             A key's order, not empty.
-        out : collection of str
+        excluded : collection of str
             Targets that are avoided for now.
         """
         is_far = self.is_far(order[0].record.hall)
--- a/halldoor/core/targets/outlier.py
+++ b/halldoor/core/targets/outlier.py
@@ -38,9 +38,9 @@
     Attributes
     ----------
     ejects_failing : bool
-        Targets that fail repeatedly, or can't be reached, are ejected.
+        Whether targets that fail repeatedly, or can't be reached, are ejected.
     ejects_slow : bool
-        Targets that are much slower than their service are ejected.
+        Whether targets that are much slower than their service are ejected.
     """
 
     ejects_failing: bool = True
@@ -55,7 +55,7 @@
     ejections : int
         Consecutive ejections; if above 0 when an ejection ended, a single failure ejects again.
     sheds : int
-        Consecutive pauses because the target was full, counted up to the longest pause.
+        Refusals in a row of the full target; each doubles the next pause, up to the longest one.
     """
 
     def __init__(self) -> None:
@@ -115,9 +115,9 @@
         Parameters
         ----------
         is_dead : bool, optional
-            No connection could be opened: one such failure ejects the target.
+            Whether no connection could be opened: one such failure ejects the target.
         is_slow : bool, optional
-            The answer did not arrive in time, which counts as `SLOW_WEIGHT` failures.
+            Whether the answer did not arrive in time, which counts as `SLOW_WEIGHT` failures.
         """
         results = self._results.setdefault(target, _Results())
         if not self._settings.ejects_failing:
@@ -162,7 +162,7 @@
         return self._ejected.keys()
 
     def is_on_trial(self, target: str) -> bool:
-        """Check whether a target was ejected and had no successful answer in time since."""
+        """Check whether a target had no timely, successful answer since its last ejection."""
         results = self._results.get(target)
         return results is not None and results.ejections > 0
 
--- a/halldoor/core/targets/regionflow.py
+++ b/halldoor/core/targets/regionflow.py
@@ -49,7 +49,7 @@
 
 
 class RegionFlow:
-    """Count requests by region of execution and reason, and compare adjacent windows."""
+    """Counter of requests by region of execution and reason, which compares adjacent windows."""
 
     def __init__(self) -> None:
         self._window = -1
--- a/halldoor/core/targets/relay.py
+++ b/halldoor/core/targets/relay.py
@@ -26,7 +26,7 @@
 BATCHES_KEPT = 64
 """Batches of changes that an entry keeps for its followers: 20 s at three batches a second."""
 OWN_PAUSE_SHARE = 0.42
-"""Time between two watch slots of an entry that watches only for itself, as part of the bound."""
+"""Time between two watch slots of an entry without followers, as part of the bound."""
 OWN_PAUSE_LIMIT_S = 1.3
 """Longest time between two watch slots, in seconds: new targets must be found soon, too."""
 QUIET_SHARE = 0.25
@@ -67,14 +67,14 @@
     Attributes
     ----------
     own_pause_s : float
-        Pause of an entry that watches only for itself, in seconds.
+        Pause between two watches of an entry that has no followers, in seconds.
     reader_pause_s : float
-        Pause of a reader, in seconds.
+        Pause of a reader after changes, before its next watch, in seconds.
     age_s : float
         Time for which a follower relies on a reader that it has lost, in seconds.
     handover_s : float
-        Time that a follower waits in vain for all records from its reader, in seconds; it waits
-        longer for those of another copy of the store.
+        Time after which a follower stops waiting for all records from its reader, in seconds; it
+        waits longer for those of another copy of the store.
     connect_s, call_s : float
         Time to open a connection to the store, and of a call to it, in seconds.
     retry_s : float
@@ -161,7 +161,7 @@
     least_entries : int
         Entries of a hall from which some of them read the store for the others.  Below it, the
         reader's short watches cost more calls than they save: it makes 1.3 calls a second at a
-        bound of 3 s, while an entry that watches only for itself makes 0.2 to 0.8.
+        bound of 3 s, while an entry without followers makes 0.2 to 0.8.
     followers_per_reader : int
         Entries for each reader.  A poll costs the reader about 1 ms of processor time, and each
         follower polls once per change or proof, one to three times a second.
@@ -200,7 +200,7 @@
 
     @property
     def own_pause_s(self) -> float:
-        """Time between two watch slots of an entry that watches only for itself, in seconds."""
+        """Time between two watch slots of an entry without followers, in seconds."""
         return min(OWN_PAUSE_LIMIT_S, OWN_PAUSE_SHARE * self.bound_s)
 
     @property
@@ -215,7 +215,7 @@
 
     @property
     def budget(self) -> Budget:
-        """Division of the bound among the steps of a change's way to an entry."""
+        """Division of the bound among the steps by which a change reaches an entry."""
         return Budget(
             own_pause_s=self.own_pause_s,
             reader_pause_s=self.pause_s,
@@ -229,7 +229,7 @@
         return RESUME_SHARE * self.bound_s
 
     def find_watch_s(self, *, is_after_changes: bool) -> float:
-        """Return how long a reader's watch waits for changes, in seconds."""
+        """Return how long a reader's watch waits, in seconds; shorter if a pause aged its proof."""
         return (BUSY_SHARE if is_after_changes else QUIET_SHARE) * self.bound_s
 
     def find_poll_s(self, age_s: float) -> float:
@@ -284,7 +284,11 @@
     left: str | None = None
 
     def is_satisfied_by(self, era: str) -> bool:
-        """Check whether a copy is the requested one, or a newer one."""
+        """Check whether a copy is the requested one, or a newer one.
+
+        `newest` is not accepted if it is the copy that this entry just left.  Another copy is newer
+        only if `left` is known and the copy's number is above those of both.
+        """
         if era == self.newest:
             return era != self.left
         if self.left is None:
--- a/halldoor/core/targets/removals.py
+++ b/halldoor/core/targets/removals.py
@@ -50,7 +50,7 @@
 
 
 class PostponedRemovals:
-    """Removals that are applied later, each with its time."""
+    """Removals found after a restore, which are applied later unless their records return."""
 
     def __init__(self) -> None:
         self._due_at: dict[Change, float] = {}
--- a/halldoor/core/targets/rests.py
+++ b/halldoor/core/targets/rests.py
@@ -43,7 +43,7 @@
     sound_looks : int
         Probes that were answered successfully.
     is_proven : bool
-        A request after the back-off was answered successfully.
+        Whether a request after the back-off was answered successfully.
     """
 
     until: float
--- a/halldoor/core/targets/route.py
+++ b/halldoor/core/targets/route.py
@@ -42,11 +42,11 @@
     max_attempts : int
         Most targets that one request may be sent to.
     has_affinity : bool
-        Targets that recently served the same affinity key answer faster.
+        Whether targets that recently served the same affinity key answer faster.
     home_regions : tuple of str
         Regions that may serve the route; any region if empty.
     is_public : bool
-        Callers need no API key, and their requests belong to no team.
+        Whether callers need no API key; their requests then belong to no team.
     """
 
     name: str
--- a/halldoor/core/targets/settings.py
+++ b/halldoor/core/targets/settings.py
@@ -10,7 +10,7 @@
 class ChoiceSettings(NamedTuple):
     """Settings of the choice of targets.
 
-    Each but `load_factor` and the cold rate can be switched off.
+    Each rule can be switched off, except those of `load_factor` and the cold rate.
 
     Attributes
     ----------
@@ -43,9 +43,9 @@
     cold_margin : float
         Part of that to use; the remainder covers entries that don't know yet that it is cold.
     uses_keys : bool
-        Requests of a key go to the key's targets.
+        Whether requests of a key are sent to the key's targets.
     uses_reports : bool
-        The loads that targets report are used.
+        Whether the loads that targets report are used.
     """
 
     load_factor: float = 4.0
--- a/halldoor/core/targets/sharers.py
+++ b/halldoor/core/targets/sharers.py
@@ -5,8 +5,8 @@
 from halldoor.core.settings import Address
 
 SHARE_KEPT_S = 60.0
-"""Time for which an entry keeps its share after its record was removed, in seconds: it may only be
-cut off from the store, and still serve."""
+"""Time for which an entry keeps its share after its record was removed, in seconds: it may still
+serve callers while it is cut off from the store."""
 ASSUMED_ENTRIES = 100
 """Number of entries assumed shortly after the start, while it is unknown: that of a large fleet."""
 
--- a/halldoor/core/targets/split.py
+++ b/halldoor/core/targets/split.py
@@ -20,6 +20,7 @@
     """
 
     def __init__(self) -> None:
+        # By route and weights: requests by which each part exceeds its weight.
         self._ahead: dict[tuple[str, tuple[SplitPart, ...]], dict[str, float]] = {}
 
     def choose(self, route: Route, key: str) -> str:
--- a/halldoor/core/targets/statement.py
+++ b/halldoor/core/targets/statement.py
@@ -1,4 +1,4 @@
-"""A target's statement on itself in an answer, read once for all parts that act on it."""
+"""A target's statement on itself in an answer, read once for all components that use it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     limit : bytes
         Requests a second that the target accepts from all entries together.
     leaving : bytes
-        ``1`` if the target is about to stop and takes no new work.
+        ``1`` if the target is about to stop and accepts no new requests.
     retry_after : bytes
         Back-off that the target requests of this entry when it refuses a request: seconds, or a
         date.
--- a/halldoor/core/targets/target.py
+++ b/halldoor/core/targets/target.py
@@ -19,9 +19,9 @@
     stated_at : float
         Time of its last statement on whether it is cold, other than by its record.
     says_leaving : bool
-        It stated in an answer that it is about to stop.
+        Whether it stated in an answer that it is about to stop.
     is_withdrawn : bool
-        Another entry sent a notice that the store withdrew it.
+        Whether another entry sent a notice that the store withdrew it.
     """
 
     def __init__(self, record: TargetRecord, cold_until: float) -> None:
--- a/halldoor/core/targets/timings.py
+++ b/halldoor/core/targets/timings.py
@@ -1,4 +1,4 @@
-"""Times for which records of targets and entries are kept or doubted."""
+"""Times for which records are kept after an outage, or are incomplete after a start."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CatalogTimings(NamedTuple):
-    """Times for which records of targets and entries are kept or doubted.
+    """Times for which records are kept after an outage, or are incomplete after a start.
 
     Attributes
     ----------
--- a/halldoor/core/targets/withdrawal.py
+++ b/halldoor/core/targets/withdrawal.py
@@ -108,7 +108,7 @@
         return len(self._notices)
 
     def add(self, start: TargetStart, view: StoreView, *, until: float) -> None:
-        """Add a notice of a target's start, unless the known one is of as late a view."""
+        """Add a notice of a target's start, unless one of the same or a later view is known."""
         known = self._notices.get(start)
         if known is None or not known.view.has_reached(view):
             self._notices[start] = _HeldNotice(view, until)
--- a/halldoor/core/teams/admission.py
+++ b/halldoor/core/teams/admission.py
@@ -91,7 +91,7 @@
 
 
 class AccessSettings(NamedTuple):
-    """Limits on the age of the routes and keys that an entry goes by.
+    """Limits on the age of the routes and keys by which an entry admits requests.
 
     Attributes
     ----------
--- a/halldoor/core/teams/ledger.py
+++ b/halldoor/core/teams/ledger.py
@@ -174,7 +174,7 @@
                 bucket.add(count, limit)
 
     def _get_reduced_limit(self, team: str) -> TeamLimit | None:
-        """Return a team's limit minus the parts of silent entries; None if it has no limit."""
+        """Return a team's limit less the equal parts of silent entries; None if it has no limit."""
         limit = self._limits.get(team)
         if limit is None:
             return None
@@ -253,10 +253,10 @@
         return Counter({team: n / len(reporting) for team, n in total.items()})
 
     def _find_part_left(self, now: float, *, entries: int, period_s: float) -> float:
-        """Return the part of the quotas that is left after the equal parts of silent entries.
+        """Return the fraction of the quotas that is not reserved for silent entries.
 
-        A registered entry that never reported counts as silent: it may have been cut off since its
-        start, and admits its equal part.
+        A silent entry admits its equal part.  A registered entry that never reported counts as
+        silent, since it may have been cut off since its start.
         """
         fresh = 0
         for name, reporter in list(self._reporters.items()):
@@ -267,7 +267,7 @@
                 age_s <= FRESH_PERIODS * period_s
                 and now - reporter.reporting_since >= WARM_UP_PERIODS * period_s
             ):
-                # Counts of an entry that reports only since a short time are incomplete.
+                # An entry that has just begun to report has incomplete counts.
                 fresh += 1
         expected_entries = max(entries, len(self._reporters), 1)
         return fresh / expected_entries
--- a/halldoor/core/teams/team.py
+++ b/halldoor/core/teams/team.py
@@ -95,6 +95,7 @@
                     raise SharedKeyError(f"teams {holder.name} and {team.name} hold one key")
 
     def __len__(self) -> int:
+        """Return the number of teams."""
         return len(self.by_name)
 
     def find(self, key: bytes) -> Team | None:
