--- a/halldoor/entry/claims.py
+++ b/halldoor/entry/claims.py
@@ -55,9 +55,9 @@
     Attributes
     ----------
     on_claimed : callable
-        Called with each id that this process has just claimed, before its requesters
-        receive the claim, so that its ticket exists by then.  Never called again for an id
-        claimed earlier, even if its ticket has been forgotten since.
+        Called with each id that this process has just claimed, before the waiting
+        requests receive the claim, so that its ticket exists by then.  Never called again for
+        an id claimed earlier, even if its ticket has been dropped since.
     """
 
     def __init__(self, platform: Platform, own_claim: Claim) -> None:
--- a/halldoor/entry/configuration.py
+++ b/halldoor/entry/configuration.py
@@ -267,7 +267,7 @@
             del self._parts[unused]
 
     def _announce(self, head: Head) -> None:
-        """Announce a revision to the hall's other entries; those that miss it learn by gossip."""
+        """Announce a revision to the hall's other entries; gossip informs those that miss it."""
         snapshot = self._snapshot
         assert snapshot is not None
         message = idl.Head(revision=head.revision, data=b"", platform_version=0)
--- a/halldoor/entry/dispatch.py
+++ b/halldoor/entry/dispatch.py
@@ -80,7 +80,7 @@
     invariants : Invariants
         Counters of violated invariants.
     is_avoided : callable
-        Checks by name whether an entry is known to be leaving or dead.
+        Checks by name whether an entry is known to be leaving or not alive.
     """
 
     def __init__(
--- a/halldoor/entry/gossip.py
+++ b/halldoor/entry/gossip.py
@@ -29,7 +29,7 @@
 """Number of entries above which the hall's period grows, to bound the traffic per entry."""
 TIMEOUT_S = 0.4
 SUSPECT_PERIODS = 5
-"""Periods without a newer heartbeat after which a peer counts as dead; at least
+"""Periods without a newer heartbeat after which a peer is no longer alive; at least
 `SUSPECT_AFTER_S` seconds."""
 
 
@@ -43,7 +43,7 @@
     Parameters
     ----------
     membership : Membership
-        Records of this entry and of the peers it has heard of.
+        Records of this entry and of the peers that it knows.
     peers : PeerPool
         Connections to other entries.
     seeds : list of Address
@@ -217,7 +217,7 @@
             members = self._membership.list_alive(now)
             hall = self._membership.me.hall
             leaving = tuple(self._membership.list_leaving())
-        # Records from other halls arrive too rarely to infer that their entries died.
+        # Records from other halls arrive too rarely to infer that their entries crashed.
         seen = tuple(sorted(m.name for m in members if m.hall == hall))
         if (seen, leaving) != self._last_members:
             self._last_members = (seen, leaving)
@@ -243,7 +243,7 @@
                 return False
             if member.is_leaving:
                 return True
-            # Records from other halls arrive too rarely to infer that their entries died.
+            # Records from other halls arrive too rarely to infer that their entries crashed.
             is_near = member.hall == self._membership.me.hall
             return is_near and not self._membership.is_alive(name, now)
 
--- a/halldoor/entry/hall.py
+++ b/halldoor/entry/hall.py
@@ -74,8 +74,8 @@
     def adopt(self, snapshot: Snapshot) -> None:
         """Apply a new configuration revision to slots and health.
 
-        Added targets are marked cold.  The first revision's slots rest for `Snapshot.rest_s`
-        only if ``rest_at_start`` is set.
+        Added targets are marked cold.  The first revision's slots stay unused for
+        `Snapshot.rest_s` only if ``rest_at_start`` is set.
         """
         now = time.monotonic()
         is_first = self._snapshot is None
@@ -215,7 +215,7 @@
         views = [self._build_view(n, now) for n in usable]
         cold = [v.name for v in views if _is_at_ramp_limit(v, self._snapshot.hall_targets[v.name])]
         warm = self._policy.order([v for v in views if v.name not in cold])
-        # A cold target at its ramp's limit is a last resort: slow, but better than a refusal.
+        # A cold target at its ramp-up's limit is a last resort: slow, but better than a refusal.
         return [*warm, *self._policy.order([v for v in views if v.name in cold])]
 
     def _build_view(self, name: str, now: float) -> TargetView:
@@ -272,7 +272,7 @@
         Parameters
         ----------
         admission : Admission
-            The admission that ends.
+            The admission to release.
         busy_until : float, optional
             Time, in monotonic seconds, until which the target may still run a request that was
             cut off; the slot stays unused for `BUSY_MARGIN_S` longer.
@@ -326,7 +326,7 @@
             self.health.mark_leaving(target, now=time.monotonic())
 
     def mark_cold(self, target: str) -> None:
-        """Mark a target as cold, which starts its ramp."""
+        """Mark a target as cold, which starts its ramp-up."""
         with self._lock:
             self.health.mark_cold(target, now=time.monotonic())
 
@@ -385,7 +385,7 @@
 
 
 def _is_at_ramp_limit(view: TargetView, target: Target) -> bool:
-    """Check whether a cold target already has all requests that its ramp allows."""
+    """Check whether a cold target already has all requests that its ramp-up allows."""
     if view.ramp >= 1.0:
         return False
     return view.in_flight >= max(1, int(target.slots * view.ramp))
--- a/halldoor/entry/loans.py
+++ b/halldoor/entry/loans.py
@@ -19,7 +19,7 @@
 MAX_LENDERS_ASKED = 3
 BORROW_TIMEOUT_S = 0.15
 EMPTY_PAUSE_S = 0.02
-"""Seconds for which a lender without a free slot isn't asked again; overload brings many tries."""
+"""Seconds for which a lender without a free slot isn't asked again, to bound calls in overload."""
 NO_ANSWER_PAUSE_S = 0.5
 """Seconds for which a lender that did not answer isn't asked again."""
 
--- a/halldoor/entry/lookups.py
+++ b/halldoor/entry/lookups.py
@@ -26,7 +26,7 @@
     snapshot : Snapshot
         The revision in force.
     is_avoided : callable
-        Checks by name whether an entry is leaving or dead.
+        Checks by name whether an entry is known to be leaving or not alive.
     max_age_s : float
         Seconds for which callers may cache an answer.
     """
--- a/halldoor/entry/probe.py
+++ b/halldoor/entry/probe.py
@@ -24,7 +24,7 @@
 PROBERS_PER_TARGET = 2
 """Number of entries that probe each target; the others use their reports in heartbeats."""
 UNHEALTHY_AFTER_FAILURES = 2
-"""Failed probes in a row after which a target counts as unhealthy."""
+"""Consecutive failed probes after which a target counts as unhealthy."""
 HOST_LIST_PERIOD_S = 1.0
 MAX_COLD_AGE_S = 5.0
 """Seconds of age below which a target can count as restarted, and so as cold."""
@@ -39,7 +39,7 @@
 
 
 class _ProbeHistory(NamedTuple):
-    """Results of the last probes of a target: failures in a row, leaving, age in seconds."""
+    """Results of the last probes of a target: consecutive failures, leaving, age in seconds."""
 
     failures: int
     is_leaving: bool
--- a/halldoor/entry/reader.py
+++ b/halldoor/entry/reader.py
@@ -176,7 +176,7 @@
 
 
 def _read_exactly(source: Any, size: int) -> bytes:
-    """Read ``size`` bytes; fewer only if the body ends."""
+    """Read ``size`` bytes; return fewer only if the body is shorter."""
     parts, missing = [], size
     while missing:
         part = source.read(missing)
--- a/halldoor/entry/refusals.py
+++ b/halldoor/entry/refusals.py
@@ -13,7 +13,7 @@
 
 
 def refuse_gone() -> Refusal:
-    """Refuse a ticket whose issuing process has ended: its record of the outcome is lost."""
+    """Refuse a ticket whose issuing process has stopped: its record of the outcome is lost."""
     return refuse_unknown(
         Reason.ISSUER_GONE,
         "The entry process that issued this ticket ended. Look up whether the operation ran.",
@@ -38,7 +38,7 @@
 
 
 def refuse_platform_down(*, is_order: bool) -> Refusal:
-    """Refuse a caller's own id while the platform that records claims can't be asked."""
+    """Refuse a caller's own id while the platform, which stores the claims, can't be reached."""
     if is_order:
         # This call was sent to no target, but an earlier call with the same id may have been.
         return refuse_unknown(
--- a/halldoor/entry/request.py
+++ b/halldoor/entry/request.py
@@ -16,7 +16,7 @@
 """Bodies up to this many bytes are read before routing, so that they can be sent again."""
 
 DEADLINE_STEP_S = 0.001
-"""Resolution, in seconds, of forwarded deadlines; rounding down ends them up to this much early."""
+"""Resolution, in seconds, of forwarded deadlines; rounded down, they pass up to this much early."""
 
 _HOP_BY_HOP = frozenset(
     {
@@ -115,8 +115,8 @@
     def has_expired(self) -> bool:
         """Check whether the deadline has passed, here or at the process that it was forwarded to.
 
-        `DEADLINE_STEP_S` is needed because a target stops at its rounded-down deadline, which
-        without it was reported to the caller as a broken connection.
+        A target stops at its rounded-down deadline.  Without the tolerance `DEADLINE_STEP_S`, that
+        was reported to the caller as a broken connection.
         """
         return self.get_remaining_s() <= DEADLINE_STEP_S
 
--- a/halldoor/entry/web.py
+++ b/halldoor/entry/web.py
@@ -160,7 +160,7 @@
         return Reply(200, msgspec.json.encode(body))
 
     def _serve(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """Serve a request for a service, and count it as running until its answer ends."""
+        """Serve a request for a service, and count it as running until its answer is sent."""
         activity = self._components.activity
         activity.add()
         is_streaming = False
@@ -272,7 +272,7 @@
             raise
 
     def close(self) -> None:
-        """Discard the unread body and count the request out; the server always calls this."""
+        """Discard the unread body and stop counting the request; the server always calls this."""
         self._answer.close()
         activity, self._activity = self._activity, None
         if activity is not None:
--- a/halldoor/gateway/access.py
+++ b/halldoor/gateway/access.py
@@ -74,7 +74,7 @@
     def admit(self, head: Head, now: float) -> AdmittedRequest | Refusal:
         """Admit a request by its head: return its route and team, or the refusal."""
         if self._is_confirming():
-            # The request may have waited unread during the suspension: its caller may be gone.
+            # The request may have waited unread during the suspension; its caller may have left.
             return Refusal(RefusalReason.STOOD_STILL)
         table = self.find_table()
         if table is None:
--- a/halldoor/gateway/attempt.py
+++ b/halldoor/gateway/attempt.py
@@ -19,13 +19,13 @@
 RETRY_SPREAD = 0.25
 """Fraction by which ``Retry-After`` is randomized, so that callers don't return all at once."""
 REST_SPREAD = 0.5
-"""Fraction by which ``Retry-After`` may grow when all targets asked for a pause; it never shrinks,
-since nothing is served earlier."""
+"""Fraction by which ``Retry-After`` may grow when all targets requested a back-off; it never
+shrinks, since no target serves earlier."""
 RETRY_AFTER_ROUNDING_S = 0.01
 """Time added because ``Retry-After`` is written with two decimals, in seconds."""
 MAX_RETRY_AFTER_S = 0.8
-"""Greatest ``Retry-After`` without a request of targets, in seconds: a third of what callers have
-left of 2.5 s, after which they return in any case."""
+"""Greatest ``Retry-After`` unless targets requested a back-off, in seconds: a third of what callers
+have left of 2.5 s, after which they return in any case."""
 DEFAULT_DEADLINE_S = 30.0
 """Time for a request whose caller sends no deadline, in seconds."""
 NOT_RUN_STATUSES = (429, 503)
@@ -80,7 +80,7 @@
     distance : Distance
         Whether the target is in this entry's hall, in its region or farther away.
     place : int
-        Rank of the target in the key's order, from 0; unusable targets are not counted.
+        Position of the target in the key's order, from 0; targets passed over are not counted.
     has_sent_key : bool
         Whether this entry received an answer for the key from the target before.
     expected_ms, expected_wait_ms : int
@@ -155,7 +155,7 @@
     retry_after_s : float
         Time after which the caller may retry, in seconds, if the request did not run.
     is_asked : bool
-        Whether targets requested this time, so that no retry succeeds earlier.
+        Whether targets requested this time as a back-off, so that no retry succeeds earlier.
     """
 
     status: int
@@ -218,7 +218,7 @@
         slot_free_after_s : float, optional
             Expected time until a target has a free slot, in seconds; 0 if unknown.
         is_asked : bool, optional
-            Whether targets requested this time, so that no retry succeeds earlier.
+            Whether targets requested this time as a back-off, so that no retry succeeds earlier.
         """
         if not self.may_have_run:
             if is_asked:
@@ -233,7 +233,7 @@
         Parameters
         ----------
         rest_s : float, optional
-            Time until the first target accepts requests again, in seconds; 0 if one does now.
+            Time until the first target ends its back-off, in seconds; 0 if one has none.
         """
         last = self.attempts[-1]
         reason = f"{last.target}: {last.result}, {last.detail}; {obstacle}"
@@ -259,7 +259,7 @@
 
 
 def randomize_requested_rest(after_s: float, generator: Random) -> float:
-    """Randomize a retry time upwards only, since no target serves earlier."""
+    """Randomize a requested back-off upwards only, since no target serves earlier."""
     return after_s * generator.uniform(1.0, 1.0 + REST_SPREAD) + RETRY_AFTER_ROUNDING_S
 
 
--- a/halldoor/gateway/backoff.py
+++ b/halldoor/gateway/backoff.py
@@ -12,7 +12,7 @@
 Later pauses double it, up to `BACKOFF_LIMIT_S`.
 """
 BACKOFF_LIMIT_S = 1.0
-"""Longest pause after failed calls, in seconds: the store's return is detected within it."""
+"""Longest pause after failed calls, in seconds: the end of an outage is detected within it."""
 
 
 class Backoff:
@@ -45,6 +45,6 @@
             return self._first_s
         if self._failures == 2:
             return BACKOFF_S - self._first_s
-        # The exponent is bounded: it would overflow while the store is away for days.
+        # The exponent is bounded: it would overflow in an outage of days.
         doublings = min(self._failures - 2, 10)
         return min(BACKOFF_LIMIT_S, BACKOFF_S * 2.0**doublings)
--- a/halldoor/gateway/coldstate.py
+++ b/halldoor/gateway/coldstate.py
@@ -1,6 +1,6 @@
-"""Finds out which targets are cold while neither the store nor an entry in contact can be reached.
+"""Checks which targets are cold while neither the store nor an entry in contact can be reached.
 
-An entry that is cut off like this requests the health answers of the targets that it uses, and
+Such an entry requests the health answers of the targets that it uses, and
 notifies other entries of the results.  Otherwise requests would overload a cold target.
 """
 
@@ -117,7 +117,7 @@
             )
 
     def _check_targets(self, now: float) -> None:
-        """Start a check of each target that is due, while the store is out of reach."""
+        """Start a check of each target that is due, unless the store was reached recently."""
         self._checks = {name: task for name, task in self._checks.items() if not task.done()}
         if now - self._catalog.last_update_at <= self._contact_limit_s:
             return
--- a/halldoor/gateway/following.py
+++ b/halldoor/gateway/following.py
@@ -80,7 +80,7 @@
                 self._quarantine.update_collectors()
 
     def _dispatch_removal(self, incarnation: str) -> None:
-        """Notify the components that one incarnation of a target is gone."""
+        """Notify the components that one incarnation of a target was removed."""
         self._feedback.forget_target(incarnation)
         self._quarantine.record_target_gone(incarnation)
         self._cold_state.forget(incarnation)
--- a/halldoor/gateway/leaving.py
+++ b/halldoor/gateway/leaving.py
@@ -1,6 +1,6 @@
 """Reads from answers that a target is leaving (about to stop), and notifies other entries.
 
-So other entries stop sending requests to the target before it is gone.
+So other entries stop sending requests to the target before it stops.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
         port.register_receiver(MessageKind.LEAVING, list[LeavingNotice], self._receive)
 
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
-        """Mark a target as leaving if its answer says so, and queue notices to other entries."""
+        """Mark a target as leaving if its answer states it, and queue notices to other entries."""
         values = set(statement.leaving.split(SEPARATOR))
         if values <= STAYING:
             return
--- a/halldoor/gateway/limits.py
+++ b/halldoor/gateway/limits.py
@@ -17,7 +17,7 @@
 SEND_INTERVAL_S = 0.25
 """Interval between messages, in seconds."""
 REPEAT_INTERVAL_S = 2.0
-"""Interval at which an unchanged limit is sent again, in seconds, so that other entries learn it
+"""Interval at which an unchanged limit is sent again, in seconds, so that other entries know it
 without sending requests to the target, and a lost message is replaced."""
 
 
--- a/halldoor/gateway/lookup.py
+++ b/halldoor/gateway/lookup.py
@@ -30,7 +30,7 @@
     ----------
     hall, region : str
         Location of the caller; unknown ones are treated as far away.
-    source : random.Random
+    generator : random.Random
         Shuffles the answer, so that callers that use the first entry spread out.
     """
     all_entries = list(members)
--- a/halldoor/gateway/maintenance.py
+++ b/halldoor/gateway/maintenance.py
@@ -57,7 +57,7 @@
         return self._is_late(now) or now - self._resumed_at < BACKLOG_S
 
     def _is_late(self, now: float) -> bool:
-        """Check whether the next tick is later than load alone explains."""
+        """Check whether the next tick is too late to be explained by load alone."""
         return self._ticked_at is not None and now - self._ticked_at > SUSPENSION_S
 
     async def run(self) -> None:
@@ -82,8 +82,8 @@
     def _drop_lapsed(self, now: float) -> None:
         """Remove lapsed targets, and apply or expire the other changes that are due.
 
-        A target lapses when its record expired while the store was away, and is removed unless the
-        record is written again in time after the store's return.
+        A target has lapsed if its record expired in an outage of the store.  It is removed unless
+        the record is written again in time after the outage.
         """
         lapses = dict(self._catalog.lapsed)
         for name in self._catalog.drop_lapsed(now):
--- a/halldoor/gateway/metrics.py
+++ b/halldoor/gateway/metrics.py
@@ -164,7 +164,7 @@
         self._relay_age.observe({}, age_s)
 
     def add_relay_loss(self) -> None:
-        """Count that a relaying entry was given up and the store used instead."""
+        """Count that this entry stopped following a reader and used the store instead."""
         self._relay_losses.inc({})
 
     def add_bad_poll(self) -> None:
--- a/halldoor/gateway/polls.py
+++ b/halldoor/gateway/polls.py
@@ -65,10 +65,10 @@
     proven_at : float
         Moment up to which every change is included, on the loop's clock.
     is_relayed : bool
-        The changes came from another entry.
+        Whether the changes came from another entry.
     is_substitute : bool
-        The changes came from a substitute for the store: an entry that is polled while this one
-        has no contact with the store.
+        Whether the changes came from a substitute for the store: an entry that is polled while
+        this one has no contact with the store.
     is_difference : bool
         Whether changes that were undone before the newest revision may be left out.
     """
--- a/halldoor/gateway/quarantine.py
+++ b/halldoor/gateway/quarantine.py
@@ -121,7 +121,7 @@
 
     async def _claim_trial(self, digest: str, trial: int) -> bool:
         """Claim a trial run in the store; return False if another entry has it or on failure."""
-        # Recorded whatever the store answers: a claim whose answer was lost may be valid.
+        # Recorded even if the call fails: a claim whose answer was lost may be valid.
         self._core.record_trial(digest, trial)
         try:
             lease = await self._get_lease()
@@ -153,7 +153,7 @@
             case TimedOut():
                 self.record_unanswered(request, target)
             case ConnectFailed(is_refused=True):
-                # A full target leaves connections hanging or resets them; only a dead one refuses.
+                # A full target ignores or resets connections; only a crashed one refuses them.
                 self.record_target_gone(target.name)
             case _:
                 return
@@ -182,7 +182,7 @@
         self._unanswered.add(request, target, _now())
 
     def record_target_gone(self, incarnation: str) -> None:
-        """Record that a target is gone: its unanswered requests may have crashed it."""
+        """Record that a target was removed: its unanswered requests may have crashed it."""
         for request, target, _ in self._unanswered.pop_crashed(incarnation, _now()):
             self.record_crash(request, target)
 
--- a/halldoor/gateway/registration.py
+++ b/halldoor/gateway/registration.py
@@ -29,7 +29,7 @@
     on_contact : callable
         Called whenever the store accepted a registration or renewal.
     on_return : callable
-        Called with a cause when the store answers again after a failure, or was restored.
+        Called with a cause when the store answers after a failure, or was restored from a copy.
     """
 
     def __init__(
--- a/halldoor/gateway/relay.py
+++ b/halldoor/gateway/relay.py
@@ -171,7 +171,7 @@
             return  # `skip_pause` was not called meanwhile.
 
     def skip_pause(self) -> None:
-        """End the pause, or skip the next one: the store holds a change that is urgent."""
+        """End the pause, or skip the next one, since the store holds an urgent change."""
         self._pause_skipped.set()
 
     def _select_reader(self) -> None:
--- a/halldoor/gateway/rests.py
+++ b/halldoor/gateway/rests.py
@@ -1,4 +1,4 @@
-"""Rests requested by targets: pauses (``Retry-After``) in which an entry sends no requests."""
+"""Reads the back-offs that targets request in their answers by ``Retry-After``."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from halldoor.gateway.metrics import GatewayMetrics
 
 REJECTION_STATUSES = (429, 503)
-"""Statuses with which a target may request a rest."""
+"""Statuses with which a target may request a back-off."""
 SERVER_ERROR = 500
 """Lowest status that counts as a failure of the target."""
 
 
 class RestReader:
-    """Reader of the rests that targets request in their answers.
+    """Reader of the back-offs that targets request in their answers.
 
     Parameters
     ----------
     rests : BackoffTable
-        Table of current rests, to update.
+        Table of current back-offs, to update.
     """
 
     def __init__(self, rests: BackoffTable, *, log: EventLog, metrics: GatewayMetrics) -> None:
@@ -31,7 +31,7 @@
         self._metrics = metrics
 
     def apply_statement(self, target: Target, statement: TargetStatement, now: float) -> None:
-        """Start a rest if the answer requests one; record a successful answer otherwise."""
+        """Start a back-off if the answer requests one; record a successful answer otherwise."""
         if statement.status not in REJECTION_STATUSES:
             if statement.status < SERVER_ERROR:
                 self._rests.add_success(target.start, now)
@@ -51,6 +51,6 @@
             )
 
     def _report_bad_rest(self, target: Target, cause: str) -> None:
-        """Log and count a requested rest that is unreadable or too long."""
+        """Log and count a requested back-off that is unreadable or too long."""
         self._metrics.add_bad_statement("retry_after")
         self._log.event("targets", "Bad statement.", target=target.name, cause=cause)
--- a/halldoor/gateway/store.py
+++ b/halldoor/gateway/store.py
@@ -19,7 +19,7 @@
 
 
 class LeaseGoneError(StoreError):
-    """The lease has expired, was ended or belongs to another era of the store."""
+    """The lease expired, was ended, or belongs to another copy of the store."""
 
 
 class StoredItem(NamedTuple):
@@ -37,7 +37,7 @@
     revision : int
         Revision of the store when the page was read.
     has_more : bool
-        Whether the range goes on after the page.
+        Whether the range continues after the page.
     """
 
     items: Sequence[StoredItem]
--- a/halldoor/gateway/storenotices.py
+++ b/halldoor/gateway/storenotices.py
@@ -127,7 +127,7 @@
         now = _now()
         self._release_withdrawn(now)
         if not self._has_first_update:
-            # Other entries already hold all that an entry reads when it starts.
+            # What an entry reads when it starts is not new to the others.
             self._has_first_update, self._newest = True, view
             return
         for start in self._catalog.pop_withdrawn():
--- a/halldoor/gateway/sync.py
+++ b/halldoor/gateway/sync.py
@@ -311,7 +311,7 @@
         return now
 
     def _record_substitute(self, update: Update) -> float:
-        """Record that another entry relayed changes; the store itself is still out of reach."""
+        """Record changes relayed by another entry while this one has no contact with the store."""
         now = asyncio.get_running_loop().time()
         self._catalog.record_contact(update.proven_at)
         self._catalog.record_relay(now)
@@ -319,7 +319,7 @@
 
     @property
     def _store_away_ms(self) -> int:
-        """How long the store has been out of reach, as far as known here, in milliseconds."""
+        """Length of the store's outage as this entry knows it, in milliseconds; 0 without one."""
         now = asyncio.get_running_loop().time()
         return round(self._catalog.contact.find_outage(now).length_s * 1000)
 
