--- a/halldoor/core/hall/slots.py
+++ b/halldoor/core/hall/slots.py
@@ -3,7 +3,7 @@
 Each slot of a target has one home entry, by rendezvous hash over the roster in the configuration.
 The home entry uses the slot itself or lends it to a peer for one request, for no longer than that
 request can last.  A lender that gets no answer takes the slot back when the loan has expired plus a
-clock margin.  A borrower counts the loan from before it asked for it, so the loan always expires
+clock margin.  A borrower counts the loan from before its request, so the loan always expires
 first at the borrower.  Entries that can't reach each other therefore never use the same slot.  See
 docs/design/slots.md.
 """
--- a/halldoor/core/steering/revision.py
+++ b/halldoor/core/steering/revision.py
@@ -104,7 +104,7 @@
     parts : mapping of str to bytes
         Parts by digest.
     with_blocks : bool, optional
-        Rebuild the list of client blocks too; entries use the packed chunks.
+        Whether to rebuild the list of client blocks too; entries use the packed chunks.
 
     Raises
     ------
--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -327,7 +327,7 @@
                     postponed.append(target)
             elif reason := self._rates.find_refusal_reason(target, now, self.settings):
                 # Such a target must not use up one of the key's positions: the targets that served
-                # the key before this one came back are next, and warm.  Counting it would refuse
+                # the key before this one returned are next, and warm.  Counting it would refuse
                 # requests that they could serve.
                 passed[reason] += 1
             else:
--- a/halldoor/core/targets/cost.py
+++ b/halldoor/core/targets/cost.py
@@ -93,7 +93,7 @@
         ----------
         on_target : float
             Requests on the target from all entries.
-        place : int
+        position : int
             Position of the target in the key's order, from 0, not counting targets passed over.
         """
         slots = max(1, target.record.slots)
--- a/halldoor/core/targets/outlier.py
+++ b/halldoor/core/targets/outlier.py
@@ -15,7 +15,7 @@
 """Longest ejection, in seconds; targets that recover must get requests again soon."""
 SHED_PAUSE_S = 0.05
 """First pause after a full target refused a request, in seconds: about a third of a quick request.
-It doubles with each further refusal in a row, up to `SHED_PAUSE_LIMIT_S`."""
+It doubles with each further consecutive refusal, up to `SHED_PAUSE_LIMIT_S`."""
 SHED_PAUSE_LIMIT_S = 0.8
 """Longest such pause, in seconds."""
 SLOW_FACTOR = 3.0
@@ -54,8 +54,8 @@
     ----------
     ejections : int
         Consecutive ejections; if above 0 when an ejection ended, a single failure ejects again.
-    sheds : int
-        Refusals in a row of the full target; each doubles the next pause, up to the longest one.
+    pause_doublings : int
+        Consecutive refusals by the full target; each doubles the next pause, up to the longest.
     """
 
     def __init__(self) -> None:
@@ -114,7 +114,7 @@
 
         Parameters
         ----------
-        is_dead : bool, optional
+        is_unreachable : bool, optional
             Whether no connection could be opened: one such failure ejects the target.
         is_slow : bool, optional
             Whether the answer did not arrive in time, which counts as `SLOW_WEIGHT` failures.
--- a/halldoor/core/targets/regionflow.py
+++ b/halldoor/core/targets/regionflow.py
@@ -107,7 +107,7 @@
 
 
 def _sum(counts: Counter[tuple[str, RunReason]], place: int) -> Counter[str]:
-    """Sum counts by one item of their (region, reason) keys."""
+    """Sum counts by one item of their (region, reason) keys: 0 or 1."""
     summed: Counter[str] = Counter()
     for name, count in counts.items():
         summed[name[place]] += count
--- a/halldoor/core/targets/relay.py
+++ b/halldoor/core/targets/relay.py
@@ -305,8 +305,8 @@
     after, revision : int
         The batch contains all changes after the first revision up to the second.
     is_difference : bool
-        Changes that were undone between the two revisions are left out, so that the batch can
-        be applied only to the state at the first revision, not to one in between.
+        Whether changes undone between the two revisions are left out, so that the batch can be
+        applied only to the state at the first revision, not to one in between.
     """
 
     after: int
--- a/halldoor/core/targets/target.py
+++ b/halldoor/core/targets/target.py
@@ -18,7 +18,7 @@
         Time until which it is cold, in seconds of the steady clock.
     stated_at : float
         Time of its last statement on whether it is cold, other than by its record.
-    says_leaving : bool
+    has_stated_leaving : bool
         Whether it stated in an answer that it is about to stop.
     is_withdrawn : bool
         Whether another entry sent a notice that the store withdrew it.
--- a/halldoor/core/teams/gate.py
+++ b/halldoor/core/teams/gate.py
@@ -208,7 +208,7 @@
 
     Parameters
     ----------
-    part : float
+    admitted_fraction : float
         Fraction of the team's requests that is admitted now, 0 to 1.
     """
     excess = 1.0 / max(part, 0.01) - 1.0
--- a/halldoor/gateway/attempt.py
+++ b/halldoor/gateway/attempt.py
@@ -232,7 +232,7 @@
 
         Parameters
         ----------
-        rest_s : float, optional
+        backoff_s : float, optional
             Time until the first target ends its back-off, in seconds; 0 if one has none.
         """
         last = self.attempts[-1]
--- a/halldoor/gateway/caller.py
+++ b/halldoor/gateway/caller.py
@@ -21,8 +21,8 @@
 READ_AHEAD = 65_536
 """Bytes of later requests or of an unread body that are buffered before reading pauses."""
 LINGER_S = 0.5
-"""Time to go on reading after an early answer, in seconds, so that closing the socket doesn't reset
-the connection before the caller has read the answer."""
+"""Time to continue reading after an early answer, in seconds, so that closing the socket doesn't
+reset the connection before the caller has read the answer."""
 IDLE_SLACK_S = 1.0
 """Time beyond the announced idle timeout, in seconds, so that a request already sent arrives."""
 
--- a/halldoor/gateway/feedback.py
+++ b/halldoor/gateway/feedback.py
@@ -238,7 +238,7 @@
 
         Parameters
         ----------
-        is_dead : bool, optional
+        is_unreachable : bool, optional
             Whether no connection could be opened.
         is_slow : bool, optional
             Whether the target was too slow instead of failing.
--- a/halldoor/gateway/handover.py
+++ b/halldoor/gateway/handover.py
@@ -121,7 +121,7 @@
                 self._records[item.key] = item
 
     def satisfies(self, wanted: WantedEra) -> bool:
-        """Check whether these are records of the copy of the store that is asked for."""
+        """Check whether these are records of the requested copy of the store."""
         return self._revision is not None and wanted.is_satisfied_by(self.era)
 
     def encode(self, age_s: float, *, is_packed: bool) -> bytes:
--- a/halldoor/gateway/maintenance.py
+++ b/halldoor/gateway/maintenance.py
@@ -80,7 +80,7 @@
                 self._pool.sweep()
 
     def _drop_lapsed(self, now: float) -> None:
-        """Remove lapsed targets, and apply or expire the other changes that are due.
+        """Remove lapsed targets, apply postponed removals and drop expired leaving statements.
 
         A target has lapsed if its record expired in an outage of the store.  It is removed unless
         the record is written again in time after the outage.
--- a/halldoor/gateway/pool.py
+++ b/halldoor/gateway/pool.py
@@ -16,7 +16,7 @@
 USER_TIMEOUT_S = 0.7
 """Longest time that a target's host may leave bytes unacknowledged, in seconds.
 
-Long enough for two lost packets in a row, short against a caller's deadline.
+Long enough for two consecutive lost packets, short compared with a caller's deadline.
 """
 IDLE_LIMIT_S = 4.0
 """Greatest idle time of a connection whose target announces none, in seconds."""
--- a/halldoor/gateway/relay.py
+++ b/halldoor/gateway/relay.py
@@ -377,7 +377,7 @@
         caller.send(Answer(200, [], msgspec.msgpack.encode(changes)))
 
     async def _send_records(self, caller: CallerConnection, target: str) -> None:
-        """Send all records, once they are of the copy of the store that is asked for."""
+        """Send all records, once they are of the requested copy of the store."""
         wanted = parse_wanted_era(target)
         if wanted is None:
             self._metrics.add_bad_poll()
--- a/halldoor/gateway/rests.py
+++ b/halldoor/gateway/rests.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    rests : BackoffTable
+    backoffs : BackoffTable
         Table of current back-offs, to update.
     """
 
