--- a/halldoor/core/orders/ticket.py
+++ b/halldoor/core/orders/ticket.py
@@ -186,7 +186,7 @@
 
         Returns
         -------
-        Entry or Refusal
+        TicketRecord or Refusal
             A record in state SENT if the caller may send the operation now; one in state DONE if
             it ran and the kept answer is to be returned; else a refusal.
         """
--- a/halldoor/core/targets/changes.py
+++ b/halldoor/core/targets/changes.py
@@ -71,7 +71,7 @@
 
 
 class RoutingSeen(NamedTuple):
-    """A version of the operators' configuration was read."""
+    """The operators' configuration was written."""
 
     routing: Routing
 
@@ -108,7 +108,7 @@
 
 
 class EvidenceSeen(NamedTuple):
-    """Evidence against a request was recorded."""
+    """The record of evidence against a request was written."""
 
     record: EvidenceRecord
 
--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -339,7 +339,7 @@
     def _number_positions(
         self, first: Target, candidates: Iterator[Target], tried: Collection[str]
     ) -> Iterator[tuple[int, Target]]:
-        """Yield candidates with their positions, from 0.
+        """Yield candidates with their positions in the key's order, from 0.
 
         If a key's first target is in the own region but excluded, a far target doesn't get
         position 0 in its stead: requests that wait there would delay that region's callers too.
--- a/halldoor/core/targets/order.py
+++ b/halldoor/core/targets/order.py
@@ -96,11 +96,11 @@
     Attributes
     ----------
     slots, aim : RegionSlots, float
-        Slots by region, and the share that they call for.
+        Slots by region, and the wanted share computed from them; see `compute_own_share`.
     fill_settings : tuple of (float, float)
         The `OrderSettings` that the aim was computed with: fill and most.
     version : int
-        Version of the catalog that slots and aim were computed for.
+        Version of the catalog from which slots and aim were computed.
     """
 
     def __init__(self) -> None:
--- a/halldoor/core/targets/settings.py
+++ b/halldoor/core/targets/settings.py
@@ -20,8 +20,8 @@
     full_load : float
         Requests on a target from which it is passed over, in multiples of its slots.
     spill_choices : int
-        Targets that share a key's requests; each of them is cold for the key until it has served
-        it once.
+        Number of targets that share a key's requests; each of them is cold for the key until it has
+        served a request of it.
     spare_load : float
         Average load below which any other target of the order may help out, if the first ones
         can't answer in time.  0: none may.  Such a target is cold for the key, and its requests
@@ -41,7 +41,8 @@
         All entries together may send a cold target its rate times `cold_excess`, plus `cold_slack`
         requests a second.
     cold_margin : float
-        Part of that to use; the remainder covers entries that don't know yet that it is cold.
+        Part of this rate to use; the remainder covers entries that don't know yet that the target
+        is cold.
     uses_keys : bool
         Whether requests of a key are sent to the key's targets.
     uses_reports : bool
--- a/halldoor/gateway/store.py
+++ b/halldoor/gateway/store.py
@@ -15,7 +15,7 @@
 
 
 class HistoryGoneError(StoreError):
-    """The store no longer has the history from the revision of a watch on."""
+    """The store no longer has all changes since the revision of a watch."""
 
 
 class LeaseGoneError(StoreError):
@@ -86,7 +86,7 @@
         Raises
         ------
         HistoryGoneError
-            If the store no longer has the history from that revision on.
+            If the store no longer has all changes since that revision.
         """
 
     @abstractmethod
