--- a/halldoor/core/steering/revision.py
+++ b/halldoor/core/steering/revision.py
@@ -104,7 +104,7 @@
     parts : mapping of str to bytes
         Parts by digest.
     with_blocks : bool, optional
-        Rebuild the list of client blocks too; entries use the packed chunks.
+        Whether to rebuild the list of client blocks too; entries use the packed chunks.
 
     Raises
     ------
@@ -141,7 +141,7 @@
 
 
 def is_newer(head: Head, current: Head | None) -> bool:
-    """Check whether a head is newer than the current one: an entry never goes back."""
+    """Check whether a head is newer than the current one, since an entry applies no older one."""
     return current is None or head.revision > current.revision
 
 
--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -46,7 +46,7 @@
         Expected time until the first of the key's targets has a free slot, in seconds; 0 where it
         is not known.
     is_asked : bool
-        All targets asked this entry to back off, and the time is until the first back-off ends.
+        Whether all targets requested a back-off; the time is then that until the first one ends.
     """
 
     reason: str
@@ -193,9 +193,9 @@
         return NoTarget("no room", passed, min((w for w in waits if w > 0), default=0.0))
 
     def find_backoff(self, targets: Sequence[Target], now: float) -> float:
-        """Return the time until the first of some targets accepts requests again, in seconds.
+        """Return the time until the first of some targets ends its back-off, in seconds.
 
-        It is 0 where one of them has no back-off in force.
+        It is 0 if one of them has no back-off in force.
         """
         return min((self.backoffs.find_wait(target.start, now) for target in targets), default=0.0)
 
@@ -327,7 +327,7 @@
                     postponed.append(target)
             elif reason := self._rates.find_refusal_reason(target, now, self.settings):
                 # Such a target must not use up one of the key's positions: the targets that served
-                # the key before this one came back are next, and warm.  Counting it would refuse
+                # the key before this one returned are next, and warm.  Counting it would refuse
                 # requests that they could serve.
                 passed[reason] += 1
             else:
@@ -339,7 +339,7 @@
     def _number_positions(
         self, first: Target, candidates: Iterator[Target], tried: Collection[str]
     ) -> Iterator[tuple[int, Target]]:
-        """Yield candidates with their positions, from 0.
+        """Yield candidates with their positions in the key's order, from 0.
 
         If a key's first target is in the own region but excluded, a far target doesn't get
         position 0 in its stead: requests that wait there would delay that region's callers too.
--- a/halldoor/core/targets/order.py
+++ b/halldoor/core/targets/order.py
@@ -96,11 +96,11 @@
     Attributes
     ----------
     slots, aim : RegionSlots, float
-        Slots by region, and the share that they call for.
+        Slots by region, and the wanted share computed from them; see `compute_own_share`.
     fill_settings : tuple of (float, float)
         The `OrderSettings` that the aim was computed with: fill and most.
     version : int
-        Version of the catalog that slots and aim were computed for.
+        Version of the catalog from which slots and aim were computed.
     """
 
     def __init__(self) -> None:
@@ -186,7 +186,7 @@
         ----------
         order : sequence of Target
             A key's order, not empty.
-        out : collection of str
+        excluded : collection of str
             Targets that are avoided for now.
         """
         is_far = self.is_far(order[0].record.hall)
--- a/halldoor/core/targets/outlier.py
+++ b/halldoor/core/targets/outlier.py
@@ -15,7 +15,7 @@
 """Longest ejection, in seconds; targets that recover must get requests again soon."""
 SHED_PAUSE_S = 0.05
 """First pause after a full target refused a request, in seconds: about a third of a quick request.
-It doubles with each further refusal in a row, up to `SHED_PAUSE_LIMIT_S`."""
+It doubles with each further consecutive refusal, up to `SHED_PAUSE_LIMIT_S`."""
 SHED_PAUSE_LIMIT_S = 0.8
 """Longest such pause, in seconds."""
 SLOW_FACTOR = 3.0
@@ -38,9 +38,9 @@
     Attributes
     ----------
     ejects_failing : bool
-        Targets that fail repeatedly, or can't be reached, are ejected.
+        Whether targets that fail repeatedly, or can't be reached, are ejected.
     ejects_slow : bool
-        Targets that are much slower than their service are ejected.
+        Whether targets that are much slower than their service are ejected.
     """
 
     ejects_failing: bool = True
@@ -54,8 +54,8 @@
     ----------
     ejections : int
         Consecutive ejections; if above 0 when an ejection ended, a single failure ejects again.
-    sheds : int
-        Consecutive pauses because the target was full, counted up to the longest pause.
+    pause_doublings : int
+        Consecutive refusals by the full target; each doubles the next pause, up to the longest.
     """
 
     def __init__(self) -> None:
@@ -114,10 +114,10 @@
 
         Parameters
         ----------
-        is_dead : bool, optional
-            No connection could be opened: one such failure ejects the target.
+        is_unreachable : bool, optional
+            Whether no connection could be opened: one such failure ejects the target.
         is_slow : bool, optional
-            The answer did not arrive in time, which counts as `SLOW_WEIGHT` failures.
+            Whether the answer did not arrive in time, which counts as `SLOW_WEIGHT` failures.
         """
         results = self._results.setdefault(target, _Results())
         if not self._settings.ejects_failing:
@@ -162,7 +162,7 @@
         return self._ejected.keys()
 
     def is_on_trial(self, target: str) -> bool:
-        """Check whether a target was ejected and had no successful answer in time since."""
+        """Check whether a target had no timely, successful answer since its last ejection."""
         results = self._results.get(target)
         return results is not None and results.ejections > 0
 
--- a/halldoor/core/targets/regionflow.py
+++ b/halldoor/core/targets/regionflow.py
@@ -49,7 +49,7 @@
 
 
 class RegionFlow:
-    """Count requests by region of execution and reason, and compare adjacent windows."""
+    """Counter of requests by region of execution and reason, which compares adjacent windows."""
 
     def __init__(self) -> None:
         self._window = -1
@@ -107,7 +107,7 @@
 
 
 def _sum(counts: Counter[tuple[str, RunReason]], place: int) -> Counter[str]:
-    """Sum counts by one item of their (region, reason) keys."""
+    """Sum counts by one item of their (region, reason) keys: 0 or 1."""
     summed: Counter[str] = Counter()
     for name, count in counts.items():
         summed[name[place]] += count
--- a/halldoor/gateway/store.py
+++ b/halldoor/gateway/store.py
@@ -15,11 +15,11 @@
 
 
 class HistoryGoneError(StoreError):
-    """The store no longer has the history from the revision of a watch on."""
+    """The store no longer has all changes since the revision of a watch."""
 
 
 class LeaseGoneError(StoreError):
-    """The lease has expired, was ended or belongs to another era of the store."""
+    """The lease expired, was ended, or belongs to another copy of the store."""
 
 
 class StoredItem(NamedTuple):
@@ -37,7 +37,7 @@
     revision : int
         Revision of the store when the page was read.
     has_more : bool
-        Whether the range goes on after the page.
+        Whether the range continues after the page.
     """
 
     items: Sequence[StoredItem]
@@ -86,7 +86,7 @@
         Raises
         ------
         HistoryGoneError
-            If the store no longer has the history from that revision on.
+            If the store no longer has all changes since that revision.
         """
 
     @abstractmethod
