--- a/halldoor/__init__.py
+++ b/halldoor/__init__.py
@@ -1,7 +1,7 @@
 """halldoor: global traffic steering for operators.
 
-Operators label services, regions, halls and targets and write selectors and
-capped shifts; entry hosts carry each request to a healthy target with room.
+Operators label services, regions, halls and targets, and write selectors and capped shifts.
+Entry processes send each request to a healthy target with free slots.
 """
 
 from __future__ import annotations
--- a/halldoor/admin/__init__.py
+++ b/halldoor/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API."""
+"""Administration API, through which operators read and change the configuration."""
--- a/halldoor/admin/api.py
+++ b/halldoor/admin/api.py
@@ -1,4 +1,4 @@
-"""The administration API over HTTP, by CherryPy's dispatcher."""
+"""HTTP interface of the administration API, on CherryPy."""
 
 from __future__ import annotations
 
@@ -30,6 +30,7 @@
 log = structlog.get_logger(part="admin")
 
 BODY_LIMIT = 16_000_000
+"""Longest request body, in bytes."""
 _STATUS: list[tuple[type[HalldoorError], int]] = [
     (PermissionDeniedError, 403),
     (ConflictError, 409),
@@ -64,7 +65,7 @@
 
 
 def _answer(method: Callable[..., Any]) -> Any:
-    """Expose a method; its value goes out as JSON, its errors with status and remedy."""
+    """Expose a method over HTTP, with its result, or its error and remedy, as JSON."""
 
     def wrapped(self: AdminApi, *args: Any, **kwargs: Any) -> bytes:
         cherrypy.response.headers["Content-Type"] = "application/json"
@@ -79,11 +80,11 @@
 
 
 def _to_error(exc: Exception) -> dict[str, str]:
-    """Set the status that fits an error, and name the remedy."""
+    """Set the response status for an error, and return the response with its remedy."""
     if not isinstance(exc, HalldoorError):
         cherrypy.response.status = 400
         return {
-            "error": f"The request can't be read: {exc}.",
+            "error": f"The request is invalid: {exc}.",
             "remedy": "See docs/http.md for the fields.",
             "kind": "bad request",
         }
@@ -92,12 +93,12 @@
 
 
 class AdminApi:
-    """Handlers under ``/v1``.
+    """Request handlers under ``/v1``; each method is one path.
 
     Parameters
     ----------
     administration : Administration
-        What they hand on to.
+        Runs the operations.
     """
 
     def __init__(self, administration: Administration) -> None:
@@ -111,14 +112,14 @@
 
     @_answer
     def plan(self) -> dict[str, Any]:
-        """Show what applying would change."""
+        """Return the differences that applying a configuration would make."""
         self._authenticate()
         body = _read_body(ApplyBody)
         return self._administration.plan(Configuration.from_data(body.configuration))
 
     @_answer
     def apply(self) -> Any:
-        """Commit a configuration."""
+        """Apply a complete configuration."""
         team = self._authenticate()
         body = _read_body(ApplyBody)
         wanted = Configuration.from_data(body.configuration)
@@ -128,7 +129,7 @@
 
     @_answer
     def shift(self) -> Any:
-        """Start, step, pause or take back a shift."""
+        """Start, step, pause or revert a shift."""
         team = self._authenticate()
         body = _read_body(ShiftBody)
         change_id = body.change_id or uuid4().hex
@@ -139,7 +140,7 @@
 
     @_answer
     def drain(self) -> Any:
-        """Mark a target as leaving, or take that back."""
+        """Drain a target, or undo its drain."""
         team = self._authenticate()
         body = _read_body(DrainBody)
         change_id = body.change_id or uuid4().hex
@@ -150,38 +151,38 @@
 
     @_answer
     def audit(self, limit: str = "50") -> Any:
-        """List changes, newest first."""
+        """List accepted and refused changes, the newest first."""
         self._authenticate()
         if not limit.isdigit():
-            raise SettingsError(f"limit is {limit!r}.", remedy="Give a whole number.")
+            raise SettingsError(f"limit is {limit!r}.", remedy="Pass a whole number.")
         return [msgspec.to_builtins(r) for r in self._administration.list_audit(limit=int(limit))]
 
     @_answer
     def status(self) -> dict[str, Any]:
-        """Sum up what the entries are doing."""
+        """Return the states of all entries, and the progress of drains and shifts."""
         self._authenticate()
         return self._administration.get_status()
 
     @_answer
     def explain(self, **query: str) -> bytes:
-        """Explain a decision."""
+        """Return the explanation of a routing decision, from the first entry that answers."""
         self._authenticate()
         status, body = self._administration.explain(cherrypy.request.query_string)
         cherrypy.response.status = status
         return body
 
     def _authenticate(self) -> Team:
-        """Find the team of the caller's token."""
+        """Return the team of the bearer token in the request."""
         header = cherrypy.request.headers.get("Authorization", "")
         scheme, _, token = header.partition(" ")
         return self._administration.find_team(token if scheme == "Bearer" else "")
 
 
 def _read_body(kind: type[Any]) -> Any:
-    """Read the JSON body of the request."""
+    """Decode and validate the JSON body of the request."""
     if cherrypy.request.method != "POST":
-        raise SettingsError("This is a change.", remedy="Send it by POST.")
-    # The server bounds the body; CherryPy's own reader is for forms.
+        raise SettingsError("This path takes a JSON body.", remedy="Send it by POST.")
+    # The server limits the body's length; CherryPy's own body parser handles only forms.
     return msgspec.json.decode(cherrypy.request.rfile.read(), type=kind)
 
 
--- a/halldoor/admin/service.py
+++ b/halldoor/admin/service.py
@@ -1,4 +1,4 @@
-"""What the administration API does, apart from HTTP."""
+"""Operations of the administration API, independent of HTTP."""
 
 from __future__ import annotations
 
@@ -19,24 +19,25 @@
 log = structlog.get_logger(part="admin")
 
 STATUS_TIMEOUT_S = 1.0
+"""Longest wait for the answer of one entry, in seconds."""
 
 
 class Outcome(NamedTuple):
-    """An accepted change."""
+    """Accepted change: its revision, and its differences as text."""
 
     revision: int
     differences: list[str]
 
 
 class Administration:
-    """Validates changes, checks permissions and commits them.
+    """Checks permissions, validates and commits changes, and queries the entries.
 
     Parameters
     ----------
     store : ConfigurationStore
-        The configuration in the platform.
+        Storage of the configuration in the platform.
     bootstrap_sha256 : str
-        Hash of the first administrator's token.
+        SHA-256 of the first administrator's token, valid until a team of administrators has one.
     """
 
     def __init__(self, store: ConfigurationStore, *, bootstrap_sha256: str) -> None:
@@ -45,17 +46,17 @@
         self._http = urllib3.PoolManager(retries=False, timeout=STATUS_TIMEOUT_S)
 
     def find_team(self, token: str) -> Team:
-        """Find the team of a token; see `halldoor.core.steering.permission.find_team`."""
+        """Return the team of a token; see `halldoor.core.steering.permission.find_team`."""
         return find_team(token, self._store.read().configuration, self._bootstrap_sha256)
 
     def read(self) -> dict[str, Any]:
-        """Return the accepted configuration, without the hashes of tokens."""
+        """Return the accepted configuration and its revision, without the hashes of tokens."""
         stored = self._store.read()
         shown = to_display_data(stored.configuration)
         return {"revision": stored.revision, "configuration": shown}
 
     def plan(self, wanted: Configuration) -> dict[str, Any]:
-        """Show what applying a configuration would change."""
+        """Return the differences that applying a configuration would make."""
         stored = self._store.read()
         differences = _list_differences(stored, wanted)
         return {
@@ -66,10 +67,10 @@
     def apply(
         self, team: Team, wanted: Configuration, *, base: int | None, change_id: str
     ) -> Outcome:
-        """Commit a whole configuration that was planned against a revision.
+        """Commit a complete configuration that was planned against revision ``base``.
 
-        Without a base only a first configuration is taken: a file that was written
-        before somebody's shift or drain must not undo it unseen.
+        Without a base only the first configuration is accepted: otherwise a file that was written
+        before another operator's shift or drain would silently undo it.
         """
         change = Change(change_id, team.name, "apply")
         return self._commit(team, change, lambda _: wanted, base=base or 0)
@@ -77,7 +78,7 @@
     def shift(
         self, team: Team, name: str, verb: str, *, position: float | None, change_id: str
     ) -> Outcome:
-        """Start, step, pause or take back a shift."""
+        """Start, step, pause or revert a shift."""
         change = Change(change_id, team.name, f"shift {verb} {name}")
         return self._commit(
             team,
@@ -87,7 +88,7 @@
         )
 
     def drain(self, team: Team, target: str, *, is_leaving: bool, change_id: str) -> Outcome:
-        """Mark a target as leaving, or take that back."""
+        """Drain a target, or undo its drain."""
         change = Change(change_id, team.name, f"{'drain' if is_leaving else 'undrain'} {target}")
         return self._commit(
             team,
@@ -105,14 +106,14 @@
         base: int | None = None,
         touched: str = "",
     ) -> Outcome:
-        """Commit an edit if the team may make it; refused ones are recorded too.
+        """Commit an edit if the team has permission; record a refused edit.
 
-        ``touched`` is checked even where the edit changes nothing, so that nobody
-        can try on what is another team's.
+        The permission for the path ``touched`` is checked even if the edit changes nothing, so that
+        a team can't probe for the state of another team's objects.
         """
 
         def checked(stored: Stored) -> Configuration:
-            # A first configuration has nothing to edit; only apply gets this far then.
+            # Before the first configuration only `apply` gets here: the other edits raise.
             after = edit(stored.configuration or _make_empty())
             differences = _list_differences(stored, after)
             if touched:
@@ -125,20 +126,30 @@
         except HalldoorError as exc:
             if not isinstance(exc, PlatformError):
                 self._store.record_refused(change, str(exc))
-            log.info("Change refused.", change=change.id, who=change.who, error=str(exc)[:300])
+            log.info(
+                "Refused a change of the configuration.",
+                change=change.id,
+                who=change.who,
+                error=str(exc)[:300],
+            )
             raise
-        log.info("Change accepted.", change=change.id, who=change.who, revision=committed.revision)
+        log.info(
+            "Accepted a change of the configuration.",
+            change=change.id,
+            who=change.who,
+            revision=committed.revision,
+        )
         return Outcome(committed.revision, [d.to_text() for d in committed.differences])
 
     def list_audit(self, *, limit: int) -> list[AuditRecord]:
-        """List accepted changes, newest first, and refused ones in their place by time."""
+        """List accepted and refused changes together, the newest first."""
         stored = self._store.read()
         accepted = list(self._store.list_audit(stored.head, limit=limit)) if stored.head else []
         records = [*accepted, *self._store.list_refused()]
         return sorted(records, key=lambda r: r.when, reverse=True)[:limit]
 
     def get_status(self) -> dict[str, Any]:
-        """Ask every entry what it is doing, and sum up drains and shifts."""
+        """Return the status of every entry, and the drains and moved requests over all entries."""
         stored = self._store.read()
         if stored.configuration is None:
             return {"revision": 0, "entries": [], "draining": [], "moves": []}
@@ -151,7 +162,7 @@
         }
 
     def _ask(self, entry: EntryHost) -> dict[str, Any]:
-        """Ask one entry for its status."""
+        """Fetch the status of one entry; an entry that doesn't answer is ``unreachable``."""
         try:
             response = self._http.request("GET", f"http://{entry.http}/v1/status")
             status: dict[str, Any] = msgspec.json.decode(response.data)
@@ -160,7 +171,13 @@
         return status
 
     def explain(self, query: str) -> tuple[int, bytes]:
-        """Pass a question about a decision on to the first entry that answers."""
+        """Forward a query about a decision to the first entry that answers.
+
+        Returns
+        -------
+        tuple of (int, bytes)
+            Status and body of the entry's answer.
+        """
         stored = self._store.read()
         hosts = (
             [e for h in stored.configuration.halls for e in h.entries]
@@ -177,19 +194,19 @@
 
 
 def _make_empty() -> Configuration:
-    """Make a configuration with nothing in it."""
+    """Build an empty configuration."""
     return Configuration(regions=[], halls=[], targets=[], services=[], teams=[])
 
 
 def _list_differences(stored: Stored, wanted: Configuration) -> list[Difference]:
-    """List what would change; the fields that the API itself writes are left out."""
+    """List the differences to a wanted configuration, without fields that the API itself writes."""
     found = compare(to_display_data(stored.configuration), to_display_data(wanted))
     own = ("former_rosters", "roster_revision")
     return [d for d in found if not d.path.endswith(own)]
 
 
 def _sum_drains(entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Sum up what each leaving target still waits for."""
+    """Summarize the requests that each draining target still runs, and for which entries."""
     drains: dict[str, dict[str, Any]] = {}
     for entry in entries:
         for name, target in entry.get("targets", {}).items():
@@ -205,7 +222,7 @@
 
 
 def _sum_moves(entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Sum up moved requests by service and cap over all entries."""
+    """Sum the requests and moved requests of all entries, by service and cap."""
     sums: dict[tuple[str, str], dict[str, Any]] = {}
     for entry in entries:
         for move in entry.get("moves", []):
--- a/halldoor/cli/__init__.py
+++ b/halldoor/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs, one module each."""
+"""Command-line programs; each module is one, apart from `fleet`, `loading` and `replay`."""
--- a/halldoor/cli/admin.py
+++ b/halldoor/cli/admin.py
@@ -1,4 +1,4 @@
-"""``halldoor-admin``: the administration API, stateless, on any host."""
+"""Program ``halldoor-admin``: the administration API; it is stateless and runs on any host."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Start the program."""
+    """Parse the command line and run the program."""
     defopt.run(run)
 
 
--- a/halldoor/cli/entry.py
+++ b/halldoor/cli/entry.py
@@ -1,4 +1,4 @@
-"""``halldoor-entry``: one a host, all alike."""
+"""Program ``halldoor-entry``: an entry process, one on each entry host."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run(settings: Path) -> None:
-    """Run an entry until SIGTERM, which stops it without cutting off a request.
+    """Run an entry until SIGTERM, which lets running requests finish before it stops.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Start the program."""
+    """Parse the command line and run the program."""
     defopt.run(run)
 
 
--- a/halldoor/cli/fleet.py
+++ b/halldoor/cli/fleet.py
@@ -1,4 +1,4 @@
-"""Gateways side by side, from what each serves on its metrics address."""
+"""State of a fleet of gateways, read from their metrics: the part behind ``halldoor fleet``."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from halldoor.core.targets.choice import ExcludedTarget
 
 TIMEOUT_S = 2.0
-"""Longest wait for one gateway, in seconds."""
+"""Longest wait for the answer of one gateway, in seconds."""
 AT_ONCE = 256
-"""Gateways that are asked at the same time: 200 that do not answer take one time-out."""
+"""Gateways fetched at the same time, so that 200 that don't answer cost one time-out together."""
 LISTED = 20
-"""Lines of one list that are shown; the rest is counted."""
+"""Lines shown of each list; further lines are only counted."""
 LAG_S = 5.0
-"""Age of what the store said from which a gateway is called out of touch, in seconds: the time
-in which a change is to be in force everywhere."""
+"""Age of the store's last message from which a gateway is listed as lagging, in seconds: the time
+in which a change must be in force everywhere."""
 
 _STATE = re.compile(r'^halldoor_state\{name="(\w+)"\} (\S+)')
 _OUT = re.compile(r"^halldoor_target_out\{(.*)\} 1")
@@ -31,22 +31,23 @@
 
 
 class GatewayView(NamedTuple):
-    """What one gateway says of itself.
+    """State of one gateway, from its metrics.
 
     Attributes
     ----------
     store_age_s : float
-        Time since it heard from the store, in seconds.
+        Time since its last message from the store, in seconds.
     store_era : int
-        Number of the copy of the store that it believes; -1 where the store has none.
+        Number of the store's copy that it uses, which rises when the store is restored; -1 if the
+        store has no such number.
     blocked : int
-        Requests that it does not send, since targets end under them.
+        Distinct requests that it blocks, since targets crash on them.
     region_requests : tuple of (str, str, int)
-        Requests sent since its start, by its region and the region of the target.
+        Requests sent since its start, by region of the caller and of the target.
     over_quota : tuple of (str, int)
-        Teams whose requests it refused for their quota, and how many since its start.
+        Requests refused since its start because their team was over its quota, by team.
     error : str
-        Why it could not be reached; empty where it was.
+        Why its metrics could not be fetched; empty if they were.
     """
 
     address: str
@@ -65,19 +66,19 @@
 
     @property
     def is_reached(self) -> bool:
-        """Check whether it answered."""
+        """Whether the gateway answered."""
         return not self.error
 
 
 def fetch_fleet(
     addresses: Sequence[str], on_progress: Callable[[int], None] = lambda _: None
 ) -> list[GatewayView]:
-    """Ask every gateway, many at a time.
+    """Fetch the metrics of all gateways concurrently, and return their states in order.
 
     Parameters
     ----------
     on_progress : callable, optional
-        Called with how many have answered, or failed to, so far.
+        Called with the number of gateways that have answered or failed so far.
     """
     pool = urllib3.PoolManager(len(addresses), retries=False, timeout=TIMEOUT_S)
     views: dict[int, GatewayView] = {}
@@ -90,17 +91,17 @@
 
 
 def show_progress(count: int, total: int) -> None:
-    """Show on a terminal how many gateways have answered."""
+    """Show the number of gateways fetched so far, if standard error is a terminal."""
     if sys.stderr.isatty():
         end = "\n" if count == total else ""
         print(f"\r{count} of {total} gateways asked", end=end, file=sys.stderr, flush=True)
 
 
 def count_since(earlier: Sequence[GatewayView], later: Sequence[GatewayView]) -> list[GatewayView]:
-    """Give gateways whose requests are those since an earlier look at them.
+    """Return the later states, with only the requests since the earlier ones.
 
-    One that started anew since counts with all that it has; one that was not reached before, with
-    nothing.
+    A gateway that restarted in between counts with all its requests, and one that was not reached
+    the first time with none.
     """
     return [
         new._replace(region_requests=_subtract(old, new))
@@ -109,7 +110,7 @@
 
 
 def _subtract(old: GatewayView, new: GatewayView) -> tuple[tuple[str, str, int], ...]:
-    """Return the requests of a gateway since an earlier look."""
+    """Return the requests of a gateway since its earlier state, by region of caller and target."""
     if not old.is_reached:
         return ()
     before = {(origin, to): count for origin, to, count in old.region_requests}
@@ -120,7 +121,7 @@
 
 
 def _fetch(pool: urllib3.PoolManager, address: str) -> GatewayView:
-    """Ask one gateway."""
+    """Fetch the metrics of one gateway; a failure is returned as the state's error."""
     try:
         response = pool.request("GET", f"http://{address}/")
     except urllib3.exceptions.HTTPError as exc:
@@ -131,7 +132,7 @@
 
 
 def parse_metrics(address: str, text: str) -> GatewayView:
-    """Read a gateway's figures."""
+    """Parse the state of a gateway from the text of its metrics."""
     state: dict[str, float] = {}
     out: list[ExcludedTarget] = []
     over_quota: list[tuple[str, int]] = []
@@ -164,7 +165,7 @@
 
 
 def describe_fleet(gateways: Sequence[GatewayView]) -> list[str]:
-    """Describe the fleet for people: what stands out first, then the targets that are out."""
+    """Describe a fleet in lines of text: totals, lagging gateways, then excluded targets."""
     reached = [g for g in gateways if g.is_reached]
     newest = max((g.version for g in reached), default=0)
     lines = [
@@ -182,39 +183,41 @@
 
 
 def _is_lagging(gateway: GatewayView, newest: int) -> bool:
-    """Check whether a gateway is behind the others or out of touch with the store."""
+    """Check whether a gateway has an old configuration or has lost contact with the store."""
     return gateway.version < newest or gateway.store_age_s > LAG_S
 
 
 def _describe_lag(gateway: GatewayView, newest: int) -> str:
-    """Describe a gateway that is behind."""
+    """Describe a lagging gateway."""
     behind = f"configuration {gateway.version} of {newest}"
-    return f"{gateway.address}: {behind}, heard from the store {gateway.store_age_s:.1f} s ago"
+    return (
+        f"{gateway.address}: {behind}, last message from the store {gateway.store_age_s:.1f} s ago"
+    )
 
 
 def _describe_eras(reached: Sequence[GatewayView]) -> list[str]:
-    """Describe the gateways that believe an older copy of the store than others do."""
+    """Describe the gateways that use another copy of the store than the newest in use."""
     newest = max((g.store_era for g in reached), default=-1)
     return [
-        f"{g.address}: copy {g.store_era} of the store, others know copy {newest}"
+        f"{g.address}: uses copy {g.store_era} of the store, other gateways use copy {newest}"
         for g in reached
         if g.store_era != newest
     ]
 
 
 def _describe_blocked(reached: Sequence[GatewayView]) -> list[str]:
-    """Describe how many requests are blocked, and by how many gateways."""
+    """Describe how many distinct requests are blocked, and by how many gateways."""
     blocking = [g.blocked for g in reached if g.blocked]
     if not blocking:
         return []
     return [
-        f"{max(blocking)} requests under which targets end, blocked by "
+        f"{max(blocking)} requests that crash targets, blocked by "
         f"{len(blocking)} of {len(reached)} gateways"
     ]
 
 
 def _describe_quotas(reached: Sequence[GatewayView]) -> list[str]:
-    """Describe the teams that are refused for their quotas, those that are most first."""
+    """Describe the teams over their quotas, those with the most refused requests first."""
     refused: Counter[str] = Counter()
     gateways: Counter[str] = Counter()
     for gateway in reached:
@@ -228,7 +231,7 @@
 
 
 def _describe_regions(reached: Sequence[GatewayView]) -> list[str]:
-    """Describe where each region's requests ran since the gateways' starts."""
+    """Describe the regions to which each region's requests were sent."""
     counts: Counter[tuple[str, str]] = Counter()
     totals: Counter[str] = Counter()
     for gateway in reached:
@@ -247,7 +250,7 @@
 
 
 def _describe_targets(reached: Sequence[GatewayView]) -> list[str]:
-    """Describe the targets that are out, those that most gateways name first."""
+    """Describe the excluded targets, those that most gateways exclude first."""
     counts = Counter(out for gateway in reached for out in gateway.targets_out)
     return [
         f"{out.target} of {out.service}: {out.reason} at {count} of {len(reached)}"
@@ -256,7 +259,7 @@
 
 
 def _limit(lines: Iterable[str]) -> list[str]:
-    """Show the first lines and count the others."""
+    """Return the first `LISTED` lines, and a line with the number of the others."""
     shown = list(lines)
     rest = len(shown) - LISTED
     return [*shown[:LISTED], f"... and {rest} more"] if rest > 0 else shown
--- a/halldoor/cli/gateway.py
+++ b/halldoor/cli/gateway.py
@@ -1,4 +1,4 @@
-"""``halldoor-gateway``: carry requests straight to targets, with records from a YAML file."""
+"""Program ``halldoor-gateway``: an entry that reads its routes and targets from a YAML file."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def run(settings: Path) -> None:
-    """Run a gateway until SIGTERM, which stops it without cutting off a request.
+    """Run a gateway until SIGTERM, which lets running requests finish before it stops.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
 
 
 def build_gateway(checked: GatewayFileSettings) -> Gateway:
-    """Build a gateway from checked settings."""
+    """Build a gateway from validated settings."""
     return Gateway(
         build_settings(checked),
         store=FileStore(Path(checked.configuration)),
@@ -51,7 +51,7 @@
 
 
 def build_settings(checked: GatewayFileSettings) -> GatewaySettings:
-    """Build the gateway's settings from those of the file."""
+    """Build the gateway's settings from the settings file, with its policy applied."""
     data = msgspec.structs.asdict(checked)
     policy = data.pop("policy")
     del data["configuration"]
@@ -59,7 +59,7 @@
 
 
 def main() -> None:
-    """Start the program."""
+    """Parse the command line and run the program."""
     defopt.run(run)
 
 
--- a/halldoor/cli/loading.py
+++ b/halldoor/cli/loading.py
@@ -1,4 +1,4 @@
-"""What every program does first: read its settings and set up its logs."""
+"""Start-up of the programs: reading of settings and set-up of logging."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def load_or_exit(path: Path, kind: type[S], *, program: str) -> S:
-    """Read checked settings and set up logging; ends the program where they are wrong."""
+    """Return validated settings and set up logging; exit with a message if they are invalid."""
     try:
         settings = load_settings(path, kind)
     except HalldoorError as exc:
--- a/halldoor/cli/operator.py
+++ b/halldoor/cli/operator.py
@@ -1,7 +1,7 @@
-"""``halldoor``: the operator's command line.
+"""Program ``halldoor``: the operators' command line.
 
-Exit codes: 0 done; 1 the plan has differences (with ``--check``); 2 bad input;
-3 conflict; 4 not allowed; 5 can't be reached; 6 refused for another reason.
+Exit codes: 0 success; 1 the plan has differences (with ``--check``); 2 invalid input; 3 conflict;
+4 no permission; 5 API or all gateways unreachable; 6 refused for another reason.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
 DONE, HAS_DIFFERENCES, BAD_INPUT, CONFLICT, NOT_ALLOWED, UNREACHABLE, REFUSED = range(7)
 _CODES = {400: BAD_INPUT, 422: BAD_INPUT, 409: CONFLICT, 403: NOT_ALLOWED, 503: UNREACHABLE}
 LONGEST_LOOK_S = 600.0
-"""Longest time between two looks at the fleet, in seconds."""
+"""Longest value of ``fleet --over``, in seconds."""
 API_VARIABLE = "HALLDOOR_API"
 TOKEN_VARIABLE = "HALLDOOR_TOKEN"
 
 
 def validate(file: Path, *, output: Output = "text") -> None:
-    """Check a configuration file without any server.
+    """Check a configuration file locally, without a server.
 
     Parameters
     ----------
@@ -87,16 +87,16 @@
 def apply(
     file: Path, *, base: int | None = None, change_id: str = "", output: Output = "text"
 ) -> None:
-    """Put a file in force.
+    """Apply a configuration file.
 
     Parameters
     ----------
     file
         YAML file with the operators' configuration.
     base
-        Revision that ``plan`` showed; another in force is a conflict.
+        Revision that ``plan`` showed; the change is refused if another one is in force.
     change_id
-        Id of this change; sending the same one again never applies it twice.
+        Id of this change; a change that is sent again with the same id isn't applied twice.
     output
         ``text`` or ``json``.
     """
@@ -113,16 +113,16 @@
     change_id: str = "",
     output: Output = "text",
 ) -> None:
-    """Start, step, pause or take back a shift.
+    """Start, step, pause or revert a shift.
 
     Parameters
     ----------
     verb
-        ``start`` or resume, ``step`` to a position, ``pause`` there, or go ``back`` to none.
+        ``start`` or resume, ``step`` to a position, ``pause`` there, or go ``back`` to 0.
     name
         Name of the shift.
     position
-        Share of client blocks to choose, up to the cap.
+        Share of client blocks to shift, from 0 up to the cap.
     change_id
         Id of this change.
     output
@@ -133,14 +133,14 @@
 
 
 def drain(target: str, *, back: bool = False, change_id: str = "", output: Output = "text") -> None:
-    """Let a target leave: it gets no new work, and ends what it has.
+    """Drain a target: it receives no new requests, and finishes those it has.
 
     Parameters
     ----------
     target
         Name of the target.
     back
-        Take the drain back.
+        Undo the drain.
     change_id
         Id of this change.
     output
@@ -151,7 +151,7 @@
 
 
 def status(*, output: Output = "text") -> None:
-    """Show entries, drains and moves.
+    """Show the states of entries, drains, and requests moved by shifts.
 
     Parameters
     ----------
@@ -163,21 +163,21 @@
 
 
 def fleet(*addresses: str, over: float = 0.0, output: Output = "text") -> None:
-    """Show gateways side by side: who lags, who can't be reached, and which targets are out.
+    """Show a fleet of gateways: which lag or can't be reached, and which targets are excluded.
 
     Parameters
     ----------
     addresses
-        ``IP:PORT`` of the gateways' metrics.
+        ``IP:PORT`` of each gateway's metrics.
     over
-        Seconds between two looks: where requests ran is told of that time, not since the starts.
+        Seconds over which requests are counted by region; 0 counts since each gateway's start.
     output
         ``text`` or ``json``.
     """
     if not addresses:
-        _fail(BAD_INPUT, "No address was given. Name the gateways' metrics, as IP:PORT.")
+        _fail(BAD_INPUT, "No address was given. Pass the gateways' metrics addresses, as IP:PORT.")
     if not 0.0 <= over <= LONGEST_LOOK_S:
-        _fail(BAD_INPUT, f"--over {over:g}: name 0 to {LONGEST_LOOK_S:g} seconds.")
+        _fail(BAD_INPUT, f"--over {over:g}: pass 0 to {LONGEST_LOOK_S:g} seconds.")
 
     def look() -> list[GatewayView]:
         return fetch_fleet(addresses, lambda count: show_progress(count, len(addresses)))
@@ -198,17 +198,17 @@
     fleet: Sequence[Path] = (),
     output: Output = "text",
 ) -> None:
-    """Say in plain sentences why a request went where it did.
+    """Explain why a request was sent to its target, or refused.
 
     Parameters
     ----------
     decision
-        Decision id, or the whole Halldoor-Decision-Record header; with a log, the attempt id
+        Decision id, or the complete Halldoor-Decision-Record header; with logs, the attempt id
         that the caller sent.
     log
-        File with log lines of gateways, or ``-`` for standard input.
+        File with gateways' log lines, or ``-`` for standard input.
     fleet
-        Files with log lines of all gateways: the caller may have come to several.
+        Files with log lines of all gateways, since the caller may have called several.
     output
         ``text`` or ``json``.
     """
@@ -222,17 +222,17 @@
 
 
 def report(*logs: Path, output: Output = "text") -> None:
-    """Return where requests lose time: by service, moment, kind of target, and reason.
+    """Report where requests lose time, by service, time window, kind of target, and reason.
 
     Parameters
     ----------
     logs
-        Files with log lines of gateways, or ``-`` for standard input.
+        Files with gateways' log lines, or ``-`` for standard input.
     output
         ``text`` or ``json``.
     """
     if not logs:
-        _fail(BAD_INPUT, "No log was given. Name files with log lines, or - for standard input.")
+        _fail(BAD_INPUT, "No log was given. Pass files with log lines, or - for standard input.")
     built = build_report(line for log in logs for line in parse_lines(_read_log(log)))
     _print(output, built._asdict(), lambda: describe_report(built))
 
@@ -245,18 +245,18 @@
     plot: Path | None = None,
     output: Output = "text",
 ) -> None:
-    """Play a load pattern in virtual time, under the standing policy and others.
+    """Simulate a load pattern in virtual time, under the default policy and others.
 
     Parameters
     ----------
     pattern
-        YAML file with a fleet and its load; examples are in examples/patterns.
+        YAML file that describes a fleet and its load, such as those in examples/patterns.
     policy
-        Policy files, as entries take them; only their ``choice`` counts.
+        Policy files as for entries; only their section ``choice`` is used.
     seed
-        Decides all that happens by chance: the same seed gives the same result.
+        Seed of all random numbers; the same seed gives the same result.
     plot
-        File for a picture, .svg or .png.
+        Plot file to write, .svg or .png.
     output
         ``text`` or ``json``.
     """
@@ -270,12 +270,12 @@
 
 
 def audit(*, limit: int = 20, output: Output = "text") -> None:
-    """List changes, newest first: who, when, what, before and after.
+    """List changes, the newest first: team, time, operation, and values before and after.
 
     Parameters
     ----------
     limit
-        Changes listed at most.
+        Largest number of changes to list.
     output
         ``text`` or ``json``.
     """
@@ -284,7 +284,7 @@
 
 
 def _load(file: Path) -> Configuration:
-    """Read and check a configuration file."""
+    """Return a validated configuration from a file; exit with a message if it is invalid."""
     try:
         return Configuration.from_data(load_yaml(file), origin=str(file))
     except HalldoorError as exc:
@@ -292,7 +292,7 @@
 
 
 def _call(method: str, path: str, body: Any = None) -> Any:
-    """Call the administration API; errors end the program with their code."""
+    """Call the administration API and return its answer; exit with a code after an error."""
     api = os.environ.get(API_VARIABLE, "http://127.0.0.1:7400").rstrip("/")
     headers = {"Authorization": f"Bearer {os.environ.get(TOKEN_VARIABLE, '')}"}
     try:
@@ -315,13 +315,13 @@
 
 
 def _fail(code: int, message: str) -> NoReturn:
-    """End with a message and a code."""
+    """Print an error message and exit with a code."""
     print(f"halldoor: {message}", file=sys.stderr)
     sys.exit(code)
 
 
 def _print(output: Output, value: Any, describe: Callable[[], list[str]]) -> None:
-    """Print for scripts or for people."""
+    """Print a value as JSON, or the lines that describe it."""
     if output == "json":
         print(msgspec.json.encode(value).decode())
     else:
@@ -329,18 +329,18 @@
 
 
 def _print_outcome(output: Output, answer: Any) -> None:
-    """Print an accepted change."""
+    """Print an accepted change with its differences."""
     head = f"Accepted as revision {answer['revision']} (change {answer['change_id']})."
     _print(output, answer, lambda: [head, *answer["differences"]])
 
 
 def _join(counts: dict[str, int]) -> str:
-    """Write counts in one line."""
+    """Format counts by name as one line."""
     return ", ".join(f"{v} {k}" for k, v in counts.items())
 
 
 def _describe_status(answer: Any) -> list[str]:
-    """Describe the status for people."""
+    """Describe the answer of ``/v1/status`` in lines of text."""
     lines = [f"Revision {answer['revision']} is accepted."]
     for e in answer["entries"]:
         busy = sum(t["in_flight"] for t in e.get("targets", {}).values())
@@ -360,7 +360,7 @@
 
 
 def _describe_record(record: Any) -> list[str]:
-    """Describe one change for people."""
+    """Describe one audit record in lines of text."""
     head = (
         f"{record['when']} revision {record['revision']} {record['who']}: "
         f"{record['verb']} ({record['outcome']})"
@@ -370,7 +370,7 @@
 
 
 def _read_log(log: Path) -> list[str]:
-    """Read the lines of a log file, or of standard input."""
+    """Return the lines of a log file, or of standard input for ``-``."""
     try:
         text = sys.stdin.read() if str(log) == "-" else log.read_text(errors="replace")
     except OSError as exc:
@@ -379,20 +379,20 @@
 
 
 def _explain_from_logs(attempt_id: str, logs: Sequence[Path], output: Output) -> None:
-    """Return what gateways' log lines tell of a request."""
+    """Print the explanation of a request from gateways' log lines."""
     lines = (line for log in logs for line in parse_lines(_read_log(log)))
     sentences = explain_request(lines, attempt_id)
     if not sentences:
         _fail(
             BAD_INPUT,
-            f"No line names {attempt_id}. Look at the logs of every entry of the caller's region; "
-            "of successes only a sample is written.",
+            f"No log line has {attempt_id}. Search the logs of all entries in the caller's region; "
+            "of successful requests only a sample is logged.",
         )
     _print(output, {"sentences": sentences}, lambda: sentences)
 
 
 def main() -> None:
-    """Start the program."""
+    """Parse the command line and run its command."""
     defopt.run([validate, plan, apply, shift, drain, status, fleet, explain, report, replay, audit])
 
 
--- a/halldoor/cli/replay.py
+++ b/halldoor/cli/replay.py
@@ -1,4 +1,4 @@
-"""Play a load pattern under several policies, side by side: the part behind ``halldoor replay``."""
+"""Simulation of a load pattern under several policies: the part behind ``halldoor replay``."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from halldoor.standins.replay import ModelEntry, Replay, Tally
 
 STANDING = "as it is"
-"""Name of the policy without any file."""
+"""Name of the default policy in the output."""
 SECTION = "choice"
-"""Section of a policy file that a replay knows."""
+"""Only section of a policy file that affects a replay."""
 _NOWHERE = Address("127.0.0.1", 1)
 _USUAL = GatewaySettings(
     name="replay",
@@ -31,13 +31,13 @@
 
 
 class Played(NamedTuple):
-    """What became of a pattern under a policy."""
+    """Result of a load pattern under one policy."""
 
     policy: str
     tally: Tally
 
     def to_fields(self) -> dict[str, Any]:
-        """Return the figures by name."""
+        """Return the figures of the result by name, as printed by ``--output json``."""
         tally, counts = self.tally, self.tally.counts
         worst = min(self.list_seconds(), key=lambda second: tally.share_in_aim(second, second + 1))
         return {
@@ -49,29 +49,29 @@
         }
 
     def list_seconds(self) -> list[int]:
-        """List the seconds in which requests came."""
+        """List the seconds of the pattern in which requests arrived."""
         tally = self.tally
         return sorted({*tally.in_aim, *tally.late, *tally.refused})
 
 
 def load_pattern(path: Path) -> Pattern:
-    """Read and check a load pattern.
+    """Return a validated load pattern from a file.
 
     Raises
     ------
     SettingsError
-        Names the field that is wrong.
+        If the file is invalid; the message names the field.
     """
     return load_settings(path, Pattern)
 
 
 def load_policies(paths: Iterable[Path]) -> dict[str, ChoiceSettings]:
-    """Read policy files, and the standing policy before them.
+    """Return the default policy, followed by those of the files, by name.
 
     Raises
     ------
     SettingsError
-        Names the setting that is wrong, or that a replay does not know.
+        If a setting is invalid or doesn't affect a replay; the message names it.
     """
     policies = {STANDING: _USUAL.choice}
     for path in paths:
@@ -79,8 +79,8 @@
         others = [name for name in settings.find_changes(_USUAL) if name != SECTION]
         if others:
             raise SettingsError(
-                f"{path}: a replay does not know {', '.join(others)}.",
-                remedy=f"Only '{SECTION}' has a part in it; remove the others.",
+                f"{path}: a replay does not support {', '.join(others)}.",
+                remedy=f"Keep only the section '{SECTION}'.",
             )
         policies[path.stem] = settings.choice
     return policies
@@ -89,12 +89,12 @@
 def play_policies(
     pattern: Pattern, policies: dict[str, ChoiceSettings], *, seed: int
 ) -> list[Played]:
-    """Play a pattern under each policy, with the same chance."""
+    """Simulate a pattern under each policy, with the same seed."""
     return [Played(name, _play(pattern, choice, seed)) for name, choice in policies.items()]
 
 
 def _play(pattern: Pattern, choice: ChoiceSettings, seed: int) -> Tally:
-    """Play a pattern once."""
+    """Simulate a pattern under one policy."""
 
     def use(entry: ModelEntry) -> None:
         entry.chooser.settings = choice
@@ -103,7 +103,7 @@
 
 
 def describe_played(played: Sequence[Played]) -> list[str]:
-    """Describe plays for people."""
+    """Describe the results in lines of text, one for each policy."""
     lines = []
     for one in played:
         f = one.to_fields()
@@ -116,12 +116,12 @@
 
 
 def draw(played: Sequence[Played], path: Path) -> None:
-    """Draw what became of the requests of each second.
+    """Plot the requests in time, late and refused of each second, by policy.
 
     Raises
     ------
     SettingsError
-        Where nothing can be drawn here, or not into that file.
+        If matplotlib is missing, or the file can't be written.
     """
     try:
         import matplotlib as mpl
@@ -147,7 +147,7 @@
         figure.savefig(path)
     except (OSError, ValueError) as exc:
         raise SettingsError(
-            f"{path}: {exc}.", remedy="Name a file that ends in .svg or .png."
+            f"{path}: {exc}.", remedy="Pass a file that ends in .svg or .png."
         ) from exc
     finally:
         plt.close(figure)
--- a/halldoor/cli/standin.py
+++ b/halldoor/cli/standin.py
@@ -1,4 +1,4 @@
-"""``halldoor-standin``: stand-ins for the platform and for targets."""
+"""Program ``halldoor-standin``: stand-ins for the platform and for targets."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
     ip : str
         Address to listen on.
     slots : int
-        Requests that each runs at once.
+        Requests that each target runs at the same time.
     latency_s : float
-        Time that a request takes.
+        Time that a request takes, in seconds.
     cold_s : float
-        Time after the start in which requests take four times as long.
+        Time after the start during which requests take four times as long, in seconds.
     """
     servers = []
     for port in ports:
@@ -61,12 +61,12 @@
 
 
 def _serve(address: Address, app: Callable[..., Any], *, threads: int) -> None:
-    """Serve one application until SIGTERM."""
+    """Serve one WSGI application until SIGTERM or SIGINT."""
     _run_all([HttpServer(address, app, threads=threads)])
 
 
 def _run_all(servers: list[HttpServer]) -> None:
-    """Run servers until SIGTERM."""
+    """Run HTTP servers until SIGTERM or SIGINT."""
     configure_logs("console")
     should_stop = threading.Event()
     signal.signal(signal.SIGTERM, lambda *_: should_stop.set())
@@ -80,7 +80,7 @@
 
 
 def main() -> None:
-    """Start the program."""
+    """Parse the command line and run a stand-in."""
     defopt.run([platform, target])
 
 
--- a/halldoor/files.py
+++ b/halldoor/files.py
@@ -1,4 +1,4 @@
-"""Read settings and configuration files."""
+"""Reading of settings and configuration files."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def load_yaml(path: Path) -> Any:
-    """Read a YAML file.
+    """Return the content of a YAML file.
 
     Raises
     ------
     SettingsError
-        Where the file is missing or no YAML.
+        If the file can't be read or isn't YAML.
     """
     try:
         text = path.read_text()
@@ -28,12 +28,14 @@
             f"{path}: {exc.strerror}.", remedy="Check the path and the permissions."
         ) from exc
     except UnicodeDecodeError as exc:
-        raise SettingsError(f"{path}: not UTF-8 text.", remedy="Save it as UTF-8.") from exc
+        raise SettingsError(
+            f"{path}: the file isn't UTF-8 text.", remedy="Save it as UTF-8."
+        ) from exc
     return parse_yaml(text, origin=str(path))
 
 
 def parse_yaml(text: str, *, origin: str) -> Any:
-    """Parse YAML text; `origin` names it in messages."""
+    """Parse YAML text; error messages name ``origin`` as its source."""
     try:
         return yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except (yaml.YAMLError, RecursionError) as exc:
@@ -45,5 +47,5 @@
 
 
 def load_settings(path: Path, kind: type[T]) -> T:
-    """Read and check a settings file."""
+    """Read a YAML settings file and validate it against a class."""
     return parse(load_yaml(path), kind, origin=str(path))
--- a/halldoor/keyvalue/__init__.py
+++ b/halldoor/keyvalue/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's key-value service and host list."""
+"""Access to the platform: its key-value service, its host list, and the configuration in it."""
--- a/halldoor/keyvalue/base.py
+++ b/halldoor/keyvalue/base.py
@@ -1,4 +1,4 @@
-"""What halldoor asks of the platform."""
+"""Interface of the platform that halldoor runs on: a key-value service and a host list."""
 
 from __future__ import annotations
 
@@ -8,40 +8,41 @@
 from halldoor.core.errors import PlatformError
 
 VALUE_LIMIT = 1_000_000
+"""Largest value of a key, in bytes."""
 
 
 class Value(NamedTuple):
-    """A value and its version; versions rise with every write of the key."""
+    """Value of a key and its version, which rises with every write of the key."""
 
     data: bytes
     version: int
 
 
 class HostState(NamedTuple):
-    """A line of the platform's host list, which lags behind reality."""
+    """Row of the platform's host list, which lags behind the hosts' actual state."""
 
     name: str
     is_leaving: bool
 
 
 class WriteConflictError(PlatformError):
-    """The key's version is not the expected one; nothing was written."""
+    """The key doesn't have the expected version; nothing was written."""
 
 
 class UncertainWriteError(PlatformError):
-    """The answer to a write was lost; it may have taken effect."""
+    """No answer to a write arrived; the write may have taken effect."""
 
 
 class Platform(ABC):
-    """The key-value service with compare-and-swap, leases and watches.
+    """Client of the key-value service, with compare-and-swap, leases and watches.
 
-    Every method raises `PlatformError` where the platform can't be reached,
-    refuses, or answers rubbish.
+    Every method raises `PlatformError` if the platform can't be reached, refuses the call, or gives
+    an invalid answer.
     """
 
     @abstractmethod
     def get(self, key: str) -> Value | None:
-        """Read a key; None where it does not exist."""
+        """Return the value of a key; None if the key doesn't exist."""
 
     @abstractmethod
     def put(self, key: str, data: bytes, *, expected: int | None, lease: str = "") -> int:
@@ -52,11 +53,11 @@
         key : str
             Name of the key.
         data : bytes
-            Value, of `VALUE_LIMIT` bytes at most.
+            Value, at most `VALUE_LIMIT` bytes.
         expected : int or None
-            Version that must be there; 0 for a new key; None for any.
+            Version that the key must have; 0 for a key that must not exist; None for any.
         lease : str, optional
-            Lease with which the key goes.
+            Lease that the key is attached to; the key is deleted when the lease ends or expires.
 
         Returns
         -------
@@ -66,14 +67,14 @@
         Raises
         ------
         WriteConflictError
-            Where another version is there.
+            If the key has another version.
         UncertainWriteError
-            Where the answer was lost.
+            If no answer arrived.
         """
 
     @abstractmethod
     def watch(self, key: str, *, after: int, timeout_s: float) -> Value | None:
-        """Wait for a version above ``after``; None where none came in time."""
+        """Wait for a version of the key above ``after``; return None at the time-out."""
 
     @abstractmethod
     def create_lease(self, ttl_s: float) -> str:
@@ -81,12 +82,12 @@
 
     @abstractmethod
     def renew_lease(self, lease: str) -> None:
-        """Renew a lease; `PlatformError` where it has lapsed."""
+        """Renew a lease; raise `PlatformError` if it has expired."""
 
     @abstractmethod
     def end_lease(self, lease: str) -> None:
-        """End a lease; its keys go at once."""
+        """End a lease before it expires, which deletes its keys at once."""
 
     @abstractmethod
     def list_hosts(self) -> list[HostState]:
-        """List live and leaving hosts, entries and targets alike."""
+        """List running and leaving hosts, both entries and targets."""
--- a/halldoor/keyvalue/client.py
+++ b/halldoor/keyvalue/client.py
@@ -1,4 +1,4 @@
-"""The platform over its HTTP protocol."""
+"""Client of the platform over HTTP."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
     WriteConflictError,
 )
 
-_REMEDY = "Check the platform; halldoor goes on with what it holds."
+_REMEDY = "Check the platform; halldoor continues with its cached state."
 _ANSWER_LIMIT = 4_000_000
+"""Longest body of an answer that is accepted, in bytes."""
 
 
 class HttpPlatform(Platform):
@@ -30,20 +31,20 @@
     url : str
         Base URL, such as ``http://10.0.0.1:7000``.
     timeout_s : float
-        Longest wait for an answer other than a watch's.
+        Longest wait for an answer, in seconds; a watch adds its own time-out.
     source_ip : str, optional
-        Address that connections go out from.
+        Local address of outgoing connections.
     """
 
     def __init__(self, url: str, *, timeout_s: float = 1.0, source_ip: str = "") -> None:
         self._url = url.rstrip("/")
         self._timeout_s = timeout_s
-        # No retries by the library: a repeated write must be decided here.
+        # The library must not retry: a write whose answer was lost may have taken effect.
         source = (source_ip, 0) if source_ip else None
         self._pool = urllib3.PoolManager(maxsize=8, retries=False, source_address=source)
 
     def get(self, key: str) -> Value | None:
-        """Read a key."""
+        """Return the value of a key; None if the key doesn't exist."""
         response = self._request("GET", f"/kv/{quote(key)}")
         if response.status == 404:
             return None
@@ -54,7 +55,8 @@
         """Write a key by compare-and-swap."""
         if len(data) > VALUE_LIMIT:
             raise PlatformError(
-                f"Value of {key} has {len(data)} bytes; {VALUE_LIMIT} fit.", remedy="Split it."
+                f"The value of {key} has {len(data)} bytes; at most {VALUE_LIMIT} fit.",
+                remedy="Split it.",
             )
         query = "" if expected is None else f"?expected={expected}"
         headers = {"Platform-Lease": lease} if lease else {}
@@ -62,22 +64,24 @@
             response = self._request("PUT", f"/kv/{quote(key)}{query}", body=data, headers=headers)
         except PlatformError as exc:
             raise UncertainWriteError(
-                f"The answer to a write of {key} was lost.", remedy="Read the key back."
+                f"No answer to a write of {key} arrived.", remedy="Read the key back."
             ) from exc
         if response.status == 409:
             raise WriteConflictError(
-                f"{key} was changed by another.", remedy="Read it again and repeat the change."
+                f"{key} was changed by another writer.",
+                remedy="Read it again and repeat the change.",
             )
         if response.status in (400, 413):
             _expect(response, 200)
         if response.status != 200:
             raise UncertainWriteError(
-                f"A write of {key} was answered {response.status}.", remedy="Read the key back."
+                f"The platform answered a write of {key} with status {response.status}.",
+                remedy="Read the key back.",
             )
         return _read_version(response)
 
     def watch(self, key: str, *, after: int, timeout_s: float) -> Value | None:
-        """Wait for a version above ``after``."""
+        """Wait for a version of the key above ``after``; return None at the time-out."""
         path = f"/watch/{quote(key)}?after={after}&timeout_s={timeout_s:.1f}"
         response = self._request("GET", path, timeout_s=timeout_s + self._timeout_s)
         if response.status in (204, 404):
@@ -86,30 +90,32 @@
         return Value(response.data, _read_version(response))
 
     def create_lease(self, ttl_s: float) -> str:
-        """Create a lease."""
+        """Create a lease and return its id."""
         response = self._request("POST", f"/leases?ttl_s={ttl_s}")
         _expect(response, 200)
         return response.data.decode(errors="replace")
 
     def renew_lease(self, lease: str) -> None:
-        """Renew a lease."""
+        """Renew a lease; raise `PlatformError` if it has expired."""
         _expect(self._request("POST", f"/leases/{quote(lease)}/renew"), 200)
 
     def end_lease(self, lease: str) -> None:
-        """End a lease."""
+        """End a lease before it expires, which deletes its keys at once."""
         _expect(self._request("DELETE", f"/leases/{quote(lease)}"), 200)
 
     def list_hosts(self) -> list[HostState]:
-        """List live and leaving hosts."""
+        """List running and leaving hosts, both entries and targets."""
         response = self._request("GET", "/hosts")
         _expect(response, 200)
         try:
             return msgspec.json.decode(response.data, type=list[HostState])
         except msgspec.MsgspecError as exc:
-            raise PlatformError("The host list can't be read.", remedy=_REMEDY) from exc
+            raise PlatformError(
+                "The platform's host list can't be decoded.", remedy=_REMEDY
+            ) from exc
 
     def _request(self, method: str, path: str, *, timeout_s: float = 0.0, **options: Any) -> Any:
-        """Make one request; every fault is a `PlatformError`."""
+        """Send one request and return the complete answer; raise `PlatformError` for any fault."""
         try:
             response = self._pool.request(
                 method,
@@ -136,7 +142,7 @@
 
 
 class _Response(msgspec.Struct):
-    """A whole answer."""
+    """Complete answer of the platform, with the value of its version header."""
 
     status: int
     data: bytes
@@ -144,14 +150,16 @@
 
 
 def _expect(response: _Response, status: int) -> None:
-    """Turn an unexpected status into an error."""
+    """Raise `PlatformError` if an answer doesn't have the expected status."""
     if response.status != status:
-        raise PlatformError(f"The platform answered {response.status}.", remedy=_REMEDY)
+        raise PlatformError(f"The platform answered with status {response.status}.", remedy=_REMEDY)
 
 
 def _read_version(response: _Response) -> int:
-    """Read the version header."""
+    """Return the version of the key from an answer's header."""
     try:
         return int(response.version)
     except ValueError as exc:
-        raise PlatformError("The platform's answer has no version.", remedy=_REMEDY) from exc
+        raise PlatformError(
+            "The platform's answer has no valid Platform-Version header.", remedy=_REMEDY
+        ) from exc
--- a/halldoor/keyvalue/store.py
+++ b/halldoor/keyvalue/store.py
@@ -1,4 +1,8 @@
-"""The operators' configuration in the platform: read, compare, commit by compare-and-swap."""
+"""Storage of the operators' configuration in the platform.
+
+Changes are committed by compare-and-swap of the head, so that concurrent changes, and changes whose
+answer was lost, are never lost or applied twice.
+"""
 
 from __future__ import annotations
 
@@ -30,13 +34,25 @@
 
 REFUSED_KEY = "audit/refused"
 REFUSED_KEPT = 500
+"""Records of refused changes that are kept."""
 FORMER_ROSTERS = 8
+"""Former rosters that are kept for each hall."""
 READ_BACK_TRIES = 20
 READ_BACK_PAUSE_S = 0.25
 
 
 class Stored(NamedTuple):
-    """The configuration that is accepted, with where it stands."""
+    """Accepted configuration.
+
+    Attributes
+    ----------
+    head : Head or None
+        Head that names its parts; None before the first change.
+    version : int
+        The platform's version of the head's key, for compare-and-swap; 0 before the first change.
+    configuration : Configuration or None
+        None before the first change.
+    """
 
     head: Head | None
     version: int
@@ -44,21 +60,21 @@
 
     @property
     def revision(self) -> int:
-        """Its revision; 0 before the first."""
+        """Revision of the configuration; 0 before the first change."""
         return self.head.revision if self.head is not None else 0
 
 
 class Change(NamedTuple):
-    """A change that an operator wants.
+    """Identification of a change that an operator requests.
 
     Attributes
     ----------
     id : str
-        Change id; sending the same one again never applies it twice.
+        Change id; a change that is sent again with the same id is not applied twice.
     who : str
-        Team whose token was used.
+        Name of the team whose token was used.
     verb : str
-        What was asked, such as ``apply`` or ``shift step``.
+        Requested operation, such as ``apply`` or ``shift step``.
     """
 
     id: str
@@ -67,21 +83,21 @@
 
 
 class Committed(NamedTuple):
-    """An accepted change."""
+    """Accepted change: its revision, and what it changed."""
 
     revision: int
     differences: list[Difference]
 
 
 class ConfigurationStore:
-    """Reads and commits configurations.
+    """Reads and commits configurations in the platform.
 
     Parameters
     ----------
     platform : Platform
         The key-value service.
     pause : callable, optional
-        Waits between two tries to read back a lost answer.
+        Sleeps a number of seconds between two attempts to read back a write.
     """
 
     def __init__(self, platform: Platform, *, pause: Callable[[float], None] = time.sleep) -> None:
@@ -90,7 +106,7 @@
         self._parts: dict[str, bytes] = {}
 
     def read(self) -> Stored:
-        """Read what is accepted now."""
+        """Read the accepted configuration from the platform."""
         value = self._platform.get(HEAD_KEY)
         if value is None:
             return Stored(None, 0, None)
@@ -99,14 +115,14 @@
         return Stored(head, value.version, configuration)
 
     def _fetch(self, head: Head) -> dict[str, bytes]:
-        """Fetch the parts of a head; unchanged ones are kept from before."""
+        """Fetch the parts that a head names, by digest; unchanged parts come from the cache."""
         self._parts = {d: self._get_part(d) for d in head.parts.values()}
         index = read_block_index(head, self._parts)
         self._parts |= {d: self._get_part(d) for d in index.values()}
         return self._parts
 
     def _get_part(self, wanted: str) -> bytes:
-        """Get one part by digest."""
+        """Return one part by its digest, from the cache or the platform."""
         if wanted in self._parts:
             return self._parts[wanted]
         value = self._platform.get(PART_PREFIX + wanted)
@@ -120,23 +136,25 @@
     def commit(
         self, edit: Callable[[Stored], Configuration], change: Change, *, base: int | None = None
     ) -> Committed:
-        """Apply an edit to what is accepted, once.
+        """Apply an edit to the accepted configuration exactly once.
+
+        If another change is committed first, the edit is applied again to the new configuration.
 
         Parameters
         ----------
         edit : callable
-            Gives the new configuration from the accepted one.
+            Returns the new configuration, given the accepted one.
         change : Change
-            Who wants what.
+            Identification of the change; an accepted change with its id is not repeated.
         base : int, optional
-            Revision that the operator looked at; another one in force is a conflict.
+            Revision that the operator edited; a conflict if another one is in force.
 
         Raises
         ------
         ConflictError
-            Where another change came first; says what it changed.
+            If ``base`` isn't in force any more; the message lists the changes since.
         PlatformError
-            Where the platform can't be reached; the same change id may be sent again.
+            If the platform can't be reached; the same change id may be sent again.
         """
         while True:
             stored = self.read()
@@ -149,10 +167,10 @@
             check_configuration(configuration, origin=f"change {change.id}")
             with contextlib.suppress(WriteConflictError):
                 return self._write(configuration, stored, change)
-            # Another's change came first, or the write was lost on the way: look again.
+            # Another change was committed first, or the write was lost: read and retry.
 
     def _write(self, configuration: Configuration, stored: Stored, change: Change) -> Committed:
-        """Write the parts and then the head that names them."""
+        """Write the parts of a configuration, and then the head that names them."""
         before = to_display_data(stored.configuration)
         differences = list(compare(before, to_display_data(configuration)))
         revision = stored.revision + 1
@@ -181,7 +199,7 @@
         return Committed(revision, differences)
 
     def _put_part(self, name: str, data: bytes) -> None:
-        """Write a part; one that is there already is the same, since digests name parts."""
+        """Write a part under its digest; a part that exists already has the same content."""
         for _ in range(3):
             try:
                 self._platform.put(PART_PREFIX + name, data, expected=0)
@@ -190,15 +208,20 @@
                 return
             except UncertainWriteError:
                 continue
-        raise PlatformError("A part could not be written.", remedy="Send the same change again.")
+        raise PlatformError(
+            "A part of the configuration could not be written.",
+            remedy="Send the same change again.",
+        )
 
     def _read_back(self, head: Head) -> None:
-        """Find out what became of a head whose write got no answer.
+        """Read the head back to check whether a write without an answer took effect.
 
         Raises
         ------
         WriteConflictError
-            Where it did not take effect: the old head is still there, or another's.
+            If it did not: the platform has the old head, or one of another change.
+        PlatformError
+            If the platform does not answer.
         """
         for _ in range(READ_BACK_TRIES):
             try:
@@ -210,20 +233,20 @@
                 continue
             if is_done:
                 return
-            raise WriteConflictError("The head was not written.", remedy="Try again.")
+            raise WriteConflictError("The head was not written.", remedy="Retry the change.")
         raise PlatformError(
-            "It is not known whether the change was accepted.",
+            "It is unknown whether the change was accepted.",
             remedy="Send the same change id again once the platform answers.",
         )
 
     def _has_change(self, current: Head, wanted: Head) -> bool:
-        """Check whether a change is in the history of a head."""
+        """Check whether the change of a head is among the last changes of the current head."""
         if current.change_id == wanted.change_id:
             return True
         return any(r.change_id == wanted.change_id for r in self.list_audit(current, limit=50))
 
     def _find_done(self, stored: Stored, change: Change) -> Committed | None:
-        """Find a change that was accepted already, by its id."""
+        """Return the commit of a change that was accepted already; None if it wasn't."""
         if stored.head is None:
             return None
         for record in self.list_audit(stored.head, limit=200):
@@ -232,7 +255,7 @@
         return None
 
     def _build_conflict(self, stored: Stored, base: int) -> ConflictError:
-        """Return what others changed since the operator looked."""
+        """Build the error that lists the changes since the operator's base revision."""
         records = []
         if stored.head is not None:
             records = [r for r in self.list_audit(stored.head, limit=20) if r.revision > base]
@@ -241,12 +264,12 @@
             for r in records
         )
         return ConflictError(
-            f"You looked at revision {base}, but {stored.revision} is in force. {what}",
+            f"The change is based on revision {base}, but {stored.revision} is in force. {what}",
             remedy="Run 'halldoor plan FILE' to see your change against it, then apply again.",
         )
 
     def record_refused(self, change: Change, why: str) -> None:
-        """Record a refused change, as far as the platform can be reached."""
+        """Record a refused change in the platform; do nothing if it can't be reached."""
         record = AuditRecord(0, change.id, change.who, _format_now(), change.verb, why, "", [], [])
         with contextlib.suppress(PlatformError):
             for _ in range(5):
@@ -261,12 +284,12 @@
                     continue
 
     def list_refused(self) -> list[AuditRecord]:
-        """List the refused changes that are kept."""
+        """List the last refused changes, the newest last."""
         value = self._platform.get(REFUSED_KEY)
         return _decode_refused(value.data) if value else []
 
     def list_audit(self, head: Head, *, limit: int) -> Iterator[AuditRecord]:
-        """List the audit trail from a head backwards."""
+        """Yield the audit records of accepted changes, the newest first, starting at a head."""
         wanted = head.audit
         while wanted and limit:
             record = msgspec.msgpack.decode(self._get_part(wanted), type=AuditRecord)
@@ -275,23 +298,23 @@
 
 
 def _decode_refused(data: bytes) -> list[AuditRecord]:
-    """Read the refused changes."""
+    """Decode the list of refused changes."""
     return msgspec.msgpack.decode(data, type=list[AuditRecord])
 
 
 def _decode_head(data: bytes) -> Head:
-    """Read a head."""
+    """Decode the head of the configuration."""
     try:
         return msgspec.msgpack.decode(data, type=Head)
     except msgspec.MsgspecError as exc:
         raise PlatformError(
-            "The head of the configuration can't be read.",
+            "The head of the configuration can't be decoded.",
             remedy=f"Restore the platform's key {HEAD_KEY}.",
         ) from exc
 
 
 def _note_rosters(configuration: Configuration, stored: Stored) -> Configuration:
-    """Write into each hall whose roster changes who was in it before."""
+    """Return the configuration with the former rosters of each hall recorded in it."""
     if stored.configuration is None:
         return configuration
     revision = stored.revision + 1
@@ -300,7 +323,7 @@
 
 
 def _note_roster(hall: Hall, old: Configuration, revision: int) -> Hall:
-    """Write the former roster into a hall, where it changes."""
+    """Return the hall with its former rosters, and the revision at which its roster changed."""
     before = old.find_hall(hall.name)
     if before is None:
         return hall
@@ -316,15 +339,15 @@
 
 
 def _shorten(record: AuditRecord, limit: int = 300) -> AuditRecord:
-    """Bound the size of a record; the parts themselves keep the rest."""
+    """Limit the differences listed in a record; the stored parts have the complete values."""
     return msgspec.structs.replace(record, before=record.before[:limit], after=record.after[:limit])
 
 
 def _to_json(value: object) -> str:
-    """Write a value for the audit trail, at a bounded length."""
+    """Format a value as JSON of limited length, for the audit trail."""
     return msgspec.json.encode(value).decode()[:500]
 
 
 def _format_now() -> str:
-    """Format the wall clock for the audit trail."""
+    """Return the current UTC time in the format of the audit trail."""
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
--- a/halldoor/logs.py
+++ b/halldoor/logs.py
@@ -1,4 +1,4 @@
-"""Logging: short sentences, a fixed prefix for each part, as JSON or for people."""
+"""Set-up of structured logging; each message has the name of its part as a prefix."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def configure_logs(log_format: str, *, level: int = logging.INFO) -> None:
-    """Set up structlog.
+    """Set up structlog to write to standard error.
 
     Parameters
     ----------
     log_format : str
-        ``json``, or ``console`` for people.
+        ``json``, or ``console`` for readable lines.
     level : int, optional
-        Least level that is written.
+        Lowest level that is written.
     """
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if log_format == "console":
@@ -38,7 +38,7 @@
 def _add_prefix(
     logger: object, name: str, event: structlog.typing.EventDict
 ) -> structlog.typing.EventDict:
-    """Put the part's name before the sentence."""
+    """Prefix the message with the name of the part that logs it."""
     part = event.pop("part", "halldoor")
     event["event"] = f"{part}: {event['event']}"
     return event
--- a/halldoor/server.py
+++ b/halldoor/server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP with CherryPy's own server, cheroot."""
+"""HTTP server for WSGI applications, on cheroot."""
 
 from __future__ import annotations
 
@@ -17,32 +17,35 @@
 
 WsgiApp = Callable[[dict[str, Any], Any], Iterable[bytes]]
 HEADER_LIMIT = 32_768
+"""Longest request header, in bytes."""
 LINGER_MS = 3
+"""Longest wait of a worker for the next request on its connection, in milliseconds."""
 SWITCH_INTERVAL_S = 0.0005
-"""Longest run of one thread while others wait; requests are much shorter than the usual 5 ms."""
+"""Longest run of one thread while others wait, in seconds; Python's default of 5 ms is much longer
+than a request."""
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Adds the caller's socket to the environment, so that its end can be seen."""
+    """WSGI gateway that passes the caller's socket on, so that a disconnect can be detected."""
 
     def get_environ(self) -> Any:
-        """Build the WSGI environment."""
+        """Return the WSGI environment, with the caller's socket as ``halldoor.socket``."""
         environ: Any = super().get_environ()
         environ["halldoor.socket"] = self.req.conn.socket
         return environ
 
 
 class _Connection(HTTPConnection):
-    """A connection whose worker waits a moment for the caller's next request.
+    """Connection whose worker waits up to `LINGER_MS` for the caller's next request.
 
-    Else each request would go from the worker to the thread that watches all
-    connections and through the queue to another worker: two thread switches, which
-    under the interpreter's lock cost more than a look-up.
+    Otherwise each request would pass from the worker to the thread that polls all connections, and
+    through the queue to another worker: two thread switches, which under the interpreter's lock
+    cost more than a look-up.
     """
 
     def communicate(self) -> bool:
-        """Serve requests as long as they come one upon the other."""
-        # Counted without a lock: it is only a hint of how many workers are in use.
+        """Serve requests until the caller pauses; return whether the connection stays open."""
+        # Counted without a lock: an approximate number of busy workers is enough.
         self.server.busy += 1
         try:
             is_open = bool(super().communicate())
@@ -53,7 +56,10 @@
             self.server.busy -= 1
 
     def _has_next(self) -> bool:
-        """Check whether the next request has begun; waits only while workers are idle."""
+        """Check whether the next request has arrived.
+
+        Waits up to `LINGER_MS` for it, unless over half of the workers are busy.
+        """
         if self.rfile.has_data():
             return True
         if self.server.busy * 2 > self.server.threads or not self.server.ready:
@@ -64,20 +70,20 @@
 
 
 class HttpServer(wsgi.Server):
-    """A cheroot server with bounds on what a caller may send.
+    """Cheroot server with limits on headers, bodies, connections and idle time.
 
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 lets the kernel choose.
+        Address to listen on; port 0 makes the kernel choose one.
     app : callable
         WSGI application.
     threads : int
-        Requests served at once.
+        Worker threads, and thereby requests served at the same time.
     body_limit : int
         Largest request body in bytes.
     timeout_s : float
-        Longest silence of a caller.
+        Longest time without data from a caller, in seconds.
     """
 
     def __init__(
@@ -110,9 +116,9 @@
 
     @property
     def port(self) -> int:
-        """The port in use, once prepared."""
+        """Port in use; valid once the server is prepared."""
         return int(self.bind_addr[1])
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Log what cheroot reports; broken connections are everyday events."""
-        log.debug("Connection ended.", detail=msg.strip()[:300], level=level)
+        """Log cheroot's errors at debug level, since most are connections that callers closed."""
+        log.debug("The HTTP server reported an error.", detail=msg.strip()[:300], level=level)
--- a/halldoor/tests/test_fleet.py
+++ b/halldoor/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""``halldoor fleet``: gateways side by side."""
+"""``halldoor fleet``: fetching, parsing and describing the metrics of many gateways."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from halldoor.tests.gatewaykit import GatewayKit
 
 FLEET_S = 5.0
-"""Time in which 200 gateways must be described, in seconds."""
+"""Time in which 200 gateways must be fetched, in seconds."""
 
 
 class TestFleet:
-    def test_a_running_gateways_figures_are_read(self):
+    def test_running_gateways_metrics_are_fetched_and_parsed(self):
         async def check():
             (port,) = find_ports(1)
             async with GatewayKit.open(metrics=Address(IP, port)) as kit:
@@ -44,21 +44,23 @@
 
         asyncio.run(check())
 
-    def test_teams_over_their_quota_are_told_with_who_refuses_them(self):
+    def test_teams_over_quota_are_listed_with_refusing_gateways(self):
         texts = ['halldoor_over_quota{team="north"} 3', 'halldoor_over_quota{team="north"} 4.0']
         told = describe_fleet([parse_metrics(f"a:{i}", text) for i, text in enumerate(texts)])
         assert told[1] == "Team north: 7 requests over its quota, refused by 2 gateways"
 
-    def test_entries_that_believe_unlike_copies_of_the_store_are_told(self):
+    def test_gateways_with_an_older_copy_of_the_store_are_listed(self):
         views = [GatewayView("a:1", store_era=3), GatewayView("b:1", store_era=2)]
-        assert describe_fleet(views)[1] == "b:1: copy 2 of the store, others know copy 3"
+        assert (
+            describe_fleet(views)[1] == "b:1: uses copy 2 of the store, other gateways use copy 3"
+        )
 
-    def test_blocked_requests_are_told(self):
+    def test_blocked_requests_are_counted(self):
         views = [GatewayView("a:1", blocked=1), GatewayView("b:1"), GatewayView("c:1", blocked=2)]
         told = describe_fleet(views)[1]
-        assert told == "2 requests under which targets end, blocked by 2 of 3 gateways"
+        assert told == "2 requests that crash targets, blocked by 2 of 3 gateways"
 
-    def test_what_stands_out_is_told_first(self):
+    def test_unreachable_and_lagging_gateways_come_before_excluded_targets(self):
         out = ExcludedTarget("t1", "deck", "ejected")
         views = [
             GatewayView("a:1", version=7, watches_store=True, running=3, targets_out=(out,)),
@@ -68,15 +70,17 @@
         told = describe_fleet(views)
         assert told[0].startswith("2 of 3 gateways answered; configuration 7; 1 watch the store; 3")
         assert told[1] == "c:1: not reached (ConnectTimeoutError)"
-        assert told[2].startswith("b:1: configuration 6 of 7, heard from the store 9.0 s ago")
+        assert told[2].startswith(
+            "b:1: configuration 6 of 7, last message from the store 9.0 s ago"
+        )
         assert told[3] == "t1 of deck: ejected at 2 of 2"
 
-    def test_a_hundred_gateways_stay_readable(self):
+    def test_long_lists_are_truncated_with_a_count(self):
         views = [GatewayView(f"10.0.0.{i}:1", version=i) for i in range(100)]
         told = describe_fleet(views)
         assert len(told) == 22 and told[-1] == "... and 79 more"
 
-    def test_two_hundred_that_do_not_answer_are_named_in_time(self):
+    def test_200_silent_gateways_are_reported_within_the_limit(self):
         with socket.create_server((IP, 0), backlog=400) as silent:
             address = f"{IP}:{silent.getsockname()[1]}"
             progress = []
@@ -87,7 +91,7 @@
         assert {view.error for view in views} == {"ReadTimeoutError"}
         assert describe_fleet(views)[-1] == "... and 180 more"
 
-    def test_where_requests_ran_between_two_looks(self):
+    def test_requests_between_two_fetches_are_counted_by_region(self):
         def view(name, *requests, error=""):
             return GatewayView(name, region_requests=requests, error=error)
 
@@ -98,20 +102,20 @@
         ]
         later = [
             view("a", ("x", "x", 95), ("x", "y", 25)),
-            view("b", ("x", "x", 5)),  # It started anew.
+            view("b", ("x", "x", 5)),  # It restarted.
             view("c", ("x", "y", 700)),
         ]
         assert "Requests of x: 40% in x, 60% in y" in describe_fleet(count_since(earlier, later))
 
     @pytest.mark.parametrize("over", ["-1", "1e9", "nan"])
-    def test_a_time_that_makes_no_sense_is_refused(self, over):
+    def test_invalid_interval_is_refused(self, over):
         command = [sys.executable, "-m", "halldoor.cli.operator", "fleet", f"{IP}:1"]
         done = subprocess.run(
             [*command, f"--over={over}"], check=False, capture_output=True, text=True
         )
         assert done.returncode == 2 and done.stderr.count("\n") == 1
 
-    def test_the_command_names_the_remedy_and_says_who_is_unreachable(self):
+    def test_command_requires_addresses_and_lists_unreachable_gateways(self):
         command = [sys.executable, "-m", "halldoor.cli.operator", "fleet"]
         missing = subprocess.run(command, check=False, capture_output=True, text=True)
         assert missing.returncode == 2 and "IP:PORT" in missing.stderr
--- a/halldoor/tests/test_replay_command.py
+++ b/halldoor/tests/test_replay_command.py
@@ -1,4 +1,4 @@
-"""``halldoor replay``: a pattern and policies from files, and what comes of them."""
+"""``halldoor replay``: results of patterns and policies from files, and errors in those files."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class TestReplay:
-    def test_policies_are_told_side_by_side(self, tmp_path):
+    def test_result_of_each_policy_is_printed_and_plotted(self, tmp_path):
         pattern = write(tmp_path, "small.yaml", SMALL)
         policy = write(tmp_path, "no-keys.yaml", {"choice": {"uses_keys": False}})
         plot = tmp_path / "plot.svg"
@@ -52,7 +52,7 @@
         assert told[0]["cold"] < told[1]["cold"]
         assert "<svg" in plot.read_text()[:1000]
 
-    def test_the_same_seed_gives_the_same(self, tmp_path):
+    def test_same_seed_gives_same_result_and_another_seed_differs(self, tmp_path):
         pattern, policies = load_pattern(write(tmp_path, "p.yaml", SMALL)), load_policies([])
         first, again, other = (
             play_policies(pattern, policies, seed=seed)[0].to_fields() for seed in (1, 1, 2)
@@ -60,7 +60,7 @@
         assert first == again != other
 
     @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*.yaml")), ids=lambda p: p.stem)
-    def test_the_examples_can_be_played(self, path):
+    def test_example_patterns_can_be_replayed(self, path):
         pattern = msgspec.structs.replace(load_pattern(path), length_s=1.0)
         (played,) = play_policies(pattern, load_policies([]), seed=1)
         assert played.to_fields()["warm"] + played.to_fields()["cold"] > 0
@@ -78,19 +78,19 @@
             ({"evacuations": [{"hall": "z", "at_s": 1, "for_s": 1, "cold_s": 1}]}, "no hall"),
         ],
     )
-    def test_a_wrong_pattern_is_named(self, tmp_path, change, wanted):
+    def test_error_names_the_invalid_field_of_a_pattern(self, tmp_path, change, wanted):
         with pytest.raises(SettingsError, match=wanted):
             load_pattern(write(tmp_path, "p.yaml", SMALL | change))
 
-    def test_one_line_and_a_code(self, tmp_path):
+    def test_unsupported_policy_section_exits_with_one_line_and_code_2(self, tmp_path):
         pattern = write(tmp_path, "p.yaml", SMALL)
         policy = write(tmp_path, "q.yaml", {"sharing": {}, "retries": {"ratio": 0.5}})
         done = run(pattern, "--policy", policy)
         assert done.returncode == 2
         assert done.stderr.count("\n") == 1
-        assert "a replay does not know retries" in done.stderr
+        assert "a replay does not support retries" in done.stderr
 
     @pytest.mark.parametrize("name", ["plot.none", "no/such/folder/plot.svg"])
-    def test_a_picture_that_cannot_be_written(self, tmp_path, name):
+    def test_unwritable_plot_file_exits_with_one_line_and_code_2(self, tmp_path, name):
         done = run(write(tmp_path, "p.yaml", SMALL), "--plot", tmp_path / name)
         assert (done.returncode, done.stderr.count("\n")) == (2, 1)
--- a/halldoor/wire/__init__.py
+++ b/halldoor/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Thrift between entries: the committed IDL, a server and a client."""
+"""Thrift protocol between entries: the IDL file, a server and a client."""
--- a/halldoor/wire/client.py
+++ b/halldoor/wire/client.py
@@ -1,4 +1,8 @@
-"""Connections to other entries: pooled, bounded in time, never reused after a fault."""
+"""Pooled client connections to other entries.
+
+Every call has a time-out, and a connection on which a call failed is closed instead of reused, so
+that a late reply is never read as the answer to the next call.
+"""
 
 from __future__ import annotations
 
@@ -14,10 +18,17 @@
 
 CONNECT_TIMEOUT_S = 0.5
 IDLE_CONNECTIONS = 32
+"""Idle connections kept for each address."""
 
 
 class PeerConnection:
-    """One connection to one entry; calls on it go one after the other."""
+    """One connection to one entry, which carries one call at a time.
+
+    Attributes
+    ----------
+    has_sent : bool
+        Whether a call was started on the connection since it was taken from the pool.
+    """
 
     def __init__(self, address: Address, *, source_ip: str = "") -> None:
         source = (source_ip, 0) if source_ip else None
@@ -25,7 +36,7 @@
             sock = socket.create_connection((address.ip, address.port), CONNECT_TIMEOUT_S, source)
         except OSError as exc:
             raise PeerError(
-                f"Entry at {address} can't be reached: {exc}.",
+                f"The entry at {address} can't be reached: {exc}.",
                 remedy="Check that it runs and that the halls are connected.",
             ) from exc
         self._frames = FrameSocket(sock)
@@ -33,13 +44,13 @@
         self.has_sent = False
 
     def call(self, method: str, *, timeout_s: float, **arguments: Any) -> Any:
-        """Call a method and wait for its reply.
+        """Call a method of the peer and return its reply.
 
         Raises
         ------
         PeerError
-            Where no whole reply came in time; `has_sent` tells whether the peer
-            may have seen the call.  The connection must then be closed.
+            If no complete reply came in time.  `has_sent` is then true if the peer may have
+            received the call, and the connection must be closed.
         """
         self._sequence += 1
         frame = encode_call(method, self._sequence, arguments)
@@ -50,26 +61,26 @@
             return decode_reply(method, self._sequence, self._frames.receive())
         except (OSError, EOFError) as exc:
             raise PeerError(
-                f"Entry did not answer {method}: {exc or 'connection closed'}.",
-                remedy="Look at the peer's log; the caller may try again if it is repeatable.",
+                f"The entry did not answer {method}: {exc or 'connection closed'}.",
+                remedy="Look at the peer's log; retry if the operation is repeatable.",
             ) from exc
 
     def is_stale(self) -> bool:
-        """Check whether the idle connection can't be used any more."""
+        """Check whether the idle connection was closed by the peer or has unexpected data."""
         return self._frames.is_stale()
 
     def close(self) -> None:
-        """Close the connection; the peer cancels what it was doing for it."""
+        """Close the connection; the peer then cancels the request that runs on it."""
         self._frames.close()
 
 
 class PeerPool:
-    """Idle connections by address.
+    """Pool of idle connections by address, safe for use by several threads.
 
     Parameters
     ----------
     source_ip : str, optional
-        Address that connections go out from, so that peers and firewalls know the host.
+        Local address of outgoing connections, by which peers and firewalls identify the host.
     """
 
     def __init__(self, *, source_ip: str = "") -> None:
@@ -78,7 +89,7 @@
         self._idle: dict[Address, list[PeerConnection]] = {}
 
     def open(self, address: Address) -> PeerConnection:
-        """Return a connection that is known to be open, a new one where none is idle."""
+        """Return an idle connection that is still open, or connect if there is none."""
         while True:
             with self._lock:
                 idle = self._idle.get(address)
@@ -91,7 +102,7 @@
             connection.close()
 
     def keep(self, address: Address, connection: PeerConnection) -> None:
-        """Keep a connection whose last call came back whole."""
+        """Return a connection to the pool; its last call must have completed."""
         with self._lock:
             idle = self._idle.setdefault(address, [])
             if len(idle) < IDLE_CONNECTIONS:
@@ -101,7 +112,7 @@
 
     @contextmanager
     def use(self, address: Address) -> Iterator[PeerConnection]:
-        """Use a connection; it is kept afterwards unless something failed."""
+        """Lend a connection; return it to the pool afterwards, or close it after an exception."""
         connection = self.open(address)
         try:
             yield connection
@@ -111,7 +122,7 @@
         self.keep(address, connection)
 
     def call(self, address: Address, method: str, *, timeout_s: float, **arguments: Any) -> Any:
-        """Make a single call."""
+        """Make a single call on a pooled connection; see `PeerConnection.call`."""
         with self.use(address) as connection:
             return connection.call(method, timeout_s=timeout_s, **arguments)
 
--- a/halldoor/wire/convert.py
+++ b/halldoor/wire/convert.py
@@ -1,4 +1,4 @@
-"""Conversion between the core's data and thrift messages."""
+"""Conversion between the classes of `halldoor.core` and thrift structs."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from halldoor.core.hall.membership import Member, TargetReport
 from halldoor.wire.protocol import idl
 
+# Bits of TargetReport.flags.
 _HEALTHY, _LEAVING, _PROBED = 1, 2, 4
 
 
 def to_refusal(refusal: Refusal) -> Any:
-    """Turn a refusal into its message."""
+    """Convert a refusal to its thrift struct."""
     return idl.Refusal(
         reason=refusal.reason.value,
         ran=refusal.ran.value,
@@ -24,7 +25,11 @@
 
 
 def from_refusal(message: Any) -> Refusal:
-    """Read a refusal; words that are not known here count as the worst case."""
+    """Convert a refusal from its thrift struct.
+
+    Unknown values, which a newer entry may send, become the worst case: the request may have run,
+    and the connection broke.
+    """
     ran = Ran.NOT_RUN if message.ran == Ran.NOT_RUN.value else Ran.UNKNOWN
     try:
         reason = Reason(message.reason)
@@ -36,27 +41,27 @@
 
 
 def to_headers(headers: tuple[tuple[str, str], ...]) -> list[Any]:
-    """Turn headers into their messages."""
+    """Convert headers to thrift structs."""
     return [idl.Header(name=k, value=v) for k, v in headers]
 
 
 def from_headers(messages: list[Any] | None) -> tuple[tuple[str, str], ...]:
-    """Read headers."""
+    """Convert headers from thrift structs."""
     return tuple((m.name, m.value) for m in messages or [])
 
 
 def to_passed_over(items: list[PassedOver]) -> list[Any]:
-    """Turn passed-over candidates into their messages."""
+    """Convert candidates that were passed over, with the reasons, to thrift structs."""
     return [idl.PassedOver(name=p.name, why=p.why) for p in items]
 
 
 def from_passed_over(messages: list[Any] | None) -> list[PassedOver]:
-    """Read passed-over candidates."""
+    """Convert candidates that were passed over from thrift structs."""
     return [PassedOver(m.name, m.why) for m in messages or []]
 
 
 def to_member(member: Member) -> Any:
-    """Turn a membership record into its message."""
+    """Convert a membership record to its thrift struct."""
     return idl.Member(
         name=member.name,
         hall=member.hall,
@@ -75,7 +80,7 @@
 
 
 def from_member(message: Any) -> Member:
-    """Read a membership record."""
+    """Convert a membership record from its thrift struct."""
     return Member(
         message.name,
         message.hall,
@@ -91,12 +96,12 @@
 
 
 def _to_flags(report: TargetReport) -> int:
-    """Pack the yes-or-no parts of a report."""
+    """Pack the boolean fields of a target report into bits."""
     return _HEALTHY * report.is_healthy + _LEAVING * report.is_leaving + _PROBED * report.is_probed
 
 
 def _from_report(message: Any) -> TargetReport:
-    """Read a report of a target."""
+    """Convert a target report from its thrift struct."""
     flags = message.flags
     return TargetReport(
         message.target,
--- a/halldoor/wire/entry.thrift
+++ b/halldoor/wire/entry.thrift
@@ -1,11 +1,12 @@
-// Protocol between entry processes. Times are in milliseconds.
+// Protocol between entry processes. Fields that end in _ms are milliseconds, in _s seconds.
 
 struct Header {
   1: string name
   2: string value
 }
 
-// kind 0: admit at one of the hall's targets. kind 1: an order for the issuer of its ticket.
+// kind 0: run the request at one of the receiver's hall's targets.
+// kind 1: an order, for the entry that issued its ticket.
 struct RequestHead {
   1: i32 kind
   2: string decision_id
@@ -94,7 +95,7 @@
   3: i32 duration_ms
 }
 
-// number 0: none could be lent.
+// A slot of a target, lent by its home entry. number 0: no slot was free.
 struct Loan {
   1: i32 number
   2: i32 index
--- a/halldoor/wire/protocol.py
+++ b/halldoor/wire/protocol.py
@@ -1,4 +1,4 @@
-"""The thrift messages between entries, and their encoding in bounded frames."""
+"""Encoding of thrift calls and replies between entries, in frames of limited length."""
 
 from __future__ import annotations
 
@@ -22,14 +22,23 @@
 Service: Any = idl.Entry
 
 FRAME_LIMIT = 2_000_000
-"""Largest frame taken from the wire, in bytes; a part of the configuration fits."""
+"""Longest frame that is accepted, in bytes; each part of the configuration fits into one."""
 CHUNK_BYTES = 131_072
+"""Approximate size of one chunk of a request or response body, in bytes."""
 
 _LENGTH = struct.Struct("!I")
 
 
 class Traffic:
-    """Bytes and frames that went over all connections of this process."""
+    """Counters over all connections between entries of this process.
+
+    Attributes
+    ----------
+    sent_bytes, received_bytes : int
+        Bytes, including the length before each frame.
+    frames : int
+        Frames sent.
+    """
 
     def __init__(self) -> None:
         self.sent = 0
@@ -41,12 +50,12 @@
 
 
 class FrameSocket:
-    """A socket that carries frames with a length before each.
+    """Socket that sends and receives frames, each preceded by its length in 4 bytes.
 
     Parameters
     ----------
     sock : socket.socket
-        A connected stream socket; owned from here on.
+        Connected stream socket; `close` closes it.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -54,12 +63,12 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def set_timeout(self, timeout_s: float | None) -> None:
-        """Limit each wait on the socket."""
+        """Set the longest wait of each socket operation; None for no limit."""
         self._sock.settimeout(timeout_s)
 
     def send(self, frame: bytes) -> None:
         """Send one frame."""
-        # Counted without a lock: a lost count now and then does no harm.
+        # Counted without a lock: the counters are only reported, so a rare lost update is harmless.
         traffic.sent += len(frame) + _LENGTH.size
         traffic.frames += 1
         self._sock.sendall(_LENGTH.pack(len(frame)) + frame)
@@ -70,22 +79,25 @@
         Raises
         ------
         EOFError
-            Where the peer closed the connection between frames.
+            If the peer closed the connection between frames.
         PeerError
-            Where the frame is too long or cut off.
+            If the frame is empty, too long or incomplete.
         """
         head = self._receive_exactly(_LENGTH.size, is_first=True)
         (length,) = _LENGTH.unpack(head)
         if length == 0 or length > FRAME_LIMIT:
             raise PeerError(
-                f"A frame of {length} bytes came; 1 to {FRAME_LIMIT} are taken.",
+                f"Received a frame of {length} bytes; 1 to {FRAME_LIMIT} are accepted.",
                 remedy="Check that only halldoor entries connect to the wire port.",
             )
         traffic.received += length + _LENGTH.size
         return self._receive_exactly(length, is_first=False)
 
     def _receive_exactly(self, length: int, *, is_first: bool) -> bytes:
-        """Receive a number of bytes, in pieces so that a lie about it costs no memory."""
+        """Receive a number of bytes.
+
+        Reads in pieces, so that a false length doesn't make this process allocate memory.
+        """
         parts = []
         missing = length
         while missing:
@@ -94,14 +106,14 @@
                 if is_first and missing == length:
                     raise EOFError
                 raise PeerError(
-                    "The connection broke inside a frame.", remedy="Look at the peer's log."
+                    "The connection closed inside a frame.", remedy="Look at the peer's log."
                 )
             parts.append(part)
             missing -= len(part)
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def is_stale(self) -> bool:
-        """Check whether an idle connection was closed, or sent what nobody asked for."""
+        """Check whether an idle connection was closed by the peer or has unexpected data."""
         try:
             self._sock.setblocking(False)
             return self._sock.recv(1, socket.MSG_PEEK) is not None
@@ -111,35 +123,35 @@
             return True
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection, which also interrupts a thread that waits on it."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
 
 class _FrameReader:
-    """Gives the bytes of one frame and then nothing, as a closed connection would.
+    """Transport over the bytes of one frame, which returns no bytes after its end.
 
-    The library's own memory buffer fills what a lying length asks for beyond the
-    end with whatever is in memory, so frames are never decoded from that.
+    Replaces the memory buffer of thriftpy2 for decoding: where a length field inside the frame
+    points beyond its end, that buffer returns unrelated memory of the process.
     """
 
     def __init__(self, frame: bytes) -> None:
         self._frame = memoryview(frame)
 
     def read(self, size: int) -> bytes:
-        """Read up to a number of bytes."""
+        """Return the next bytes, at most ``size``."""
         part, self._frame = self._frame[:size], self._frame[size:]
         return bytes(part)
 
 
 def _open_frame(frame: bytes) -> Any:
-    """Return a protocol that reads one frame."""
+    """Return a thrift protocol that decodes one frame."""
     return TCyBinaryProtocol(TCyBufferedTransport(_FrameReader(frame)))
 
 
 def encode_call(method: str, sequence: int, arguments: dict[str, Any]) -> bytes:
-    """Encode a call."""
+    """Encode a call of a method of the `Entry` service as a frame."""
     buffer = TCyMemoryBuffer()
     protocol = TCyBinaryProtocol(buffer)
     protocol.write_message_begin(method, TMessageType.CALL, sequence)
@@ -149,20 +161,20 @@
 
 
 def decode_reply(method: str, sequence: int, frame: bytes) -> Any:
-    """Decode the reply to a call and check that it belongs to it.
+    """Decode a reply, check that it answers the given call, and return its result.
 
     Raises
     ------
     PeerError
-        Where the peer failed, or the reply is another call's.
+        If the peer failed, the reply can't be decoded, or it answers another call.
     """
     protocol = _open_frame(frame)
     try:
         name, kind, got = protocol.read_message_begin()
         if (name, got) != (method, sequence):
             raise PeerError(
-                f"A reply to {name} #{got} came for {method} #{sequence}.",
-                remedy="The connection is closed; the caller may try again.",
+                f"Received a reply to {name} #{got} instead of {method} #{sequence}.",
+                remedy="The connection is closed; the caller may retry.",
             )
         if kind == TMessageType.EXCEPTION:
             error = TApplicationException()
@@ -173,28 +185,28 @@
         return getattr(result, "success", None)
     except PeerError:
         raise
-    except Exception as exc:  # whatever a damaged frame makes the codec raise
+    except Exception as exc:  # The codec raises many types for a damaged frame.
         raise PeerError(
-            f"A reply can't be read: {type(exc).__name__}.", remedy="Look at the peer's log."
+            f"A reply can't be decoded: {type(exc).__name__}.", remedy="Look at the peer's log."
         ) from exc
 
 
 def answer_call(handler: object, frame: bytes) -> bytes:
-    """Decode a call, run it on a handler and encode the reply.
+    """Decode a call, run the handler's method of that name, and return the encoded reply.
 
     Raises
     ------
     PeerError
-        Where the frame is no call; the connection is to be closed.
+        If the frame isn't a valid call; the connection must then be closed.
     """
     out = TCyMemoryBuffer()
     reader, writer = _open_frame(frame), TCyBinaryProtocol(out)
     processor = TProcessor(Service, handler)
     try:
         method, sequence, result, call = processor.process_in(reader)
-    except Exception as exc:  # whatever a damaged frame makes the codec raise
+    except Exception as exc:  # The codec raises many types for a damaged frame.
         raise PeerError(
-            f"A call can't be read: {type(exc).__name__}.",
+            f"A call can't be decoded: {type(exc).__name__}.",
             remedy="Check that only halldoor entries of this version connect to the wire port.",
         ) from exc
     if isinstance(result, TApplicationException):
--- a/halldoor/wire/server.py
+++ b/halldoor/wire/server.py
@@ -1,4 +1,4 @@
-"""Serve calls of other entries: a thread and a handler for each connection."""
+"""Server for calls from other entries, with a thread and a handler for each connection."""
 
 from __future__ import annotations
 
@@ -17,26 +17,28 @@
 log = structlog.get_logger(part="wire")
 
 CONNECTION_LIMIT = 512
+"""Connections open at once; further ones are closed on arrival."""
 IDLE_TIMEOUT_S = 120.0
+"""Longest time without a call after which a connection is closed, in seconds."""
 
 
 class ConnectionHandler(ABC):
-    """Handles the calls of one connection; the methods are those of the IDL."""
+    """Handler of the calls on one connection; subclasses define the methods of the IDL."""
 
     @abstractmethod
     def close(self) -> None:
-        """Cancel what is under way, since the connection ended."""
+        """Cancel the request that is still running; called after the connection closed."""
 
 
 class WireServer:
-    """Accept connections from entries.
+    """Server that accepts connections from entries and answers their calls.
 
     Parameters
     ----------
     address : Address
-        Where to listen.
+        Address to listen on.
     make_handler : callable
-        Builds the handler of a new connection from its socket.
+        Builds the handler of a new connection, given its socket.
     """
 
     def __init__(
@@ -50,11 +52,11 @@
         self._thread = threading.Thread(target=self._accept, name="wire", daemon=True)
 
     def start(self) -> None:
-        """Start accepting."""
+        """Start accepting connections in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop accepting and close every connection."""
+        """Stop accepting and close every open connection."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -64,7 +66,7 @@
             frame.close()
 
     def _accept(self) -> None:
-        """Accept until the listener is closed."""
+        """Accept connections until the listener is closed."""
         while True:
             try:
                 sock, _ = self._listener.accept()
@@ -73,13 +75,16 @@
             with self._lock:
                 is_full = len(self._open) >= CONNECTION_LIMIT
             if is_full:
-                log.warning("Connection refused: too many are open.", limit=CONNECTION_LIMIT)
+                log.warning(
+                    "Closed a new connection from an entry: too many are open.",
+                    limit=CONNECTION_LIMIT,
+                )
                 sock.close()
                 continue
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        """Answer the calls of one connection until it ends."""
+        """Answer the calls on one connection until it closes."""
         frames = FrameSocket(sock)
         frames.set_timeout(IDLE_TIMEOUT_S)
         handler = self._make_handler(sock)
@@ -91,9 +96,9 @@
         except (EOFError, OSError):
             pass
         except PeerError as exc:
-            log.warning("Connection closed.", error=str(exc))
+            log.warning("Closed a connection after an invalid call.", error=str(exc))
         except Exception:
-            log.exception("Call failed; connection closed.")
+            log.exception("A call failed with an exception; closed its connection.")
         finally:
             with self._lock:
                 self._open.discard(frames)
--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -1,4 +1,4 @@
-"""Law: whatever comes from outside ends in a typed error, never in another exception."""
+"""Property: any input from outside is accepted or raises a `HalldoorError`, nothing else."""
 
 import contextlib
 
@@ -30,15 +30,15 @@
 
 
 class Anything:
-    """A handler that has every method."""
+    """Handler of calls that accepts every method."""
 
     def __getattr__(self, name):
         return lambda *args, **kwargs: None
 
 
 @given(st.binary(max_size=300), st.binary(max_size=40), st.integers(0, 80))
-def test_frames(noise, patch, at):
-    """Noise, and real calls with bytes replaced."""
+def test_damaged_frames_raise_only_peer_errors(noise, patch, at):
+    """Frames of random bytes, and valid calls with some bytes replaced."""
     request = idl.LoanRequest(targets=["t1", "t2"], borrower="e", duration_ms=5)
     call = encode_call("borrow", 1, {"request": request})
     patched = call[:at] + patch + call[at + len(patch) :]
@@ -50,18 +50,18 @@
 
 
 @given(st.text(max_size=200))
-def test_tickets(text):
+def test_any_text_decodes_as_a_ticket_or_none(text):
     assert decode_ticket(text) is None or decode_ticket(text)[0].issuer is not None
 
 
 @given(st.text(max_size=120))
-def test_decision_records(text):
+def test_unsigned_decision_records_are_refused(text):
     with pytest.raises(DecisionError):
         read_decision(text, KEY)
 
 
 @given(st.lists(st.text(max_size=20), max_size=30))
-def test_signed_decision_comes_back(names):
+def test_signed_decision_is_read_back(names):
     decision = Decision(
         *("id", "e", 3, "s", "op", "net", "a=b", "default", "", "h", "t", "served", 1),
         [PassedOver(n, "why") for n in names],
@@ -72,20 +72,20 @@
 
 
 @given(st.text(max_size=60))
-def test_selectors(text):
+def test_invalid_selectors_raise_only_halldoor_errors(text):
     with contextlib.suppress(HalldoorError):
         Selector.from_text(text).matches({"a": "b"})
 
 
 @given(st.text(alphabet="[]{}:,-&*ab1 \n'\"!", max_size=80))
-def test_yaml(text):
+def test_invalid_yaml_raises_only_halldoor_errors(text):
     with contextlib.suppress(HalldoorError):
         Configuration.from_data(parse_yaml(text, origin="x"))
 
 
 @settings(max_examples=120)
 @given(st.data())
-def test_configuration_with_one_value_replaced(data):
+def test_configuration_with_one_replaced_value_raises_only_halldoor_errors(data):
     whole = make_configuration(halls={"a1": 1})
     section = data.draw(st.sampled_from(sorted(whole)))
     row = data.draw(st.sampled_from(whole[section])) if whole[section] else None
@@ -104,7 +104,7 @@
 
 @given(st.lists(st.integers(1, 60), min_size=1, max_size=120))
 def test_an_id_is_never_claimed_twice_even_when_shards_overflow(numbers):
-    """A forgotten claim is below the floor, so that it is unknown instead of free."""
+    """Shards drop old claims; a dropped claim is below the floor, so it is unknown, not free."""
     limit, claims.CLAIMS_PER_SHARD = claims.CLAIMS_PER_SHARD, 8
     try:
         shard, granted = Shard(), {}
--- a/properties/test_store.py
+++ b/properties/test_store.py
@@ -1,4 +1,4 @@
-"""Law: accepted changes are never lost, doubled or reverted, whatever the platform does."""
+"""Property: accepted changes are never lost, applied twice or reverted, whatever writes fail."""
 
 import pytest
 from hypothesis import strategies as st
@@ -18,7 +18,7 @@
 
 
 class FakePlatform(Platform):
-    """Keys in memory; faults come from a script, one for each write."""
+    """Key-value service in memory; `script` holds the fault of each following write."""
 
     def __init__(self):
         self.values = {}
@@ -62,7 +62,7 @@
 
 
 class Operators(RuleBasedStateMachine):
-    """Two operators race over drains, and repeat what they got no answer to."""
+    """Two operators drain targets concurrently, and send changes without an answer again."""
 
     @initialize()
     def start(self):
@@ -101,7 +101,7 @@
 
     @rule(who=st.integers(0, 1))
     def race(self, who):
-        """The other operator commits just before this one's head is written."""
+        """Let the other operator commit just before this operator's head is written."""
         self.number += 1
         mine, other = f"c{self.number}", f"o{self.number}"
 
@@ -117,7 +117,7 @@
 
     @rule(who=st.integers(0, 1), change=st.data())
     def repeat(self, who, change):
-        """An old change that is sent again changes nothing."""
+        """Send an accepted change again, which must change nothing."""
         change_id = change.draw(st.sampled_from(self.accepted))
         before = self.platform.values["config/head"]
         self.drain(who, TARGETS[0], not self.wanted[TARGETS[0]], change_id)
@@ -133,7 +133,7 @@
             )
 
     @invariant()
-    def nothing_is_lost_doubled_or_reverted(self):
+    def every_accepted_change_is_committed_exactly_once(self):
         if not hasattr(self, "platform"):
             return
         stored = ConfigurationStore(self.platform).read()
@@ -149,7 +149,7 @@
 TestOperators = Operators.TestCase
 
 
-def test_unknown_target_names_the_remedy():
+def test_error_for_unknown_target_names_the_remedy():
     configuration = Configuration.from_data(make_configuration(halls={"a1": 1}))
     with pytest.raises(HalldoorError, match="halldoor status"):
         edit_drain(configuration, "nothing", is_leaving=True)
@@ -157,13 +157,13 @@
 
 @pytest.mark.parametrize("fault", ["lost after", "lost before"])
 def test_apply_with_a_base_whose_answer_was_lost_is_no_conflict(fault):
-    """Read back, so that an operator is not told of a conflict with the own change."""
+    """The head is read back, so that an operator gets no conflict with their own change."""
     platform = FakePlatform()
     store = ConfigurationStore(platform, pause=lambda s: None)
     first = Configuration.from_data(make_configuration(halls={"a1": 1}))
     store.commit(lambda _: first, Change("first", "ops", "apply"))
     drained = edit_drain(first, "a1-t1", is_leaving=True)
-    # Two parts, the changed targets and the audit record, go before the head.
+    # Two parts, the changed targets and the audit record, are written before the head.
     platform.script = ["fine", "fine", fault]
     change = Change("second", "ops", "apply")
     assert store.commit(lambda _: drained, change, base=1).revision == 2
