--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each module is a command that prints a table and writes it under docs/."""
+"""Benchmarks; each module is a command that prints a table and writes it to docs/measurements."""
--- a/benchmarks/access.py
+++ b/benchmarks/access.py
@@ -1,4 +1,4 @@
-"""Processor time of letting one request in: route, key, homes and quota."""
+"""Processor time of admitting one request: route, API key, home regions and quota."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from halldoor.tests.choicekit import SERVICE, make_route
 
 FLEETS = (8, 80, 8_000)
-"""Teams."""
+"""Numbers of teams."""
 REQUESTS = 20_000
 ROUNDS = 5
-"""Rounds of which the fastest counts."""
+"""Rounds, of which the fastest is reported: other load on the machine only adds time."""
 
 
 def measure(teams: int) -> list[object]:
-    """Measure a configuration with so many teams."""
+    """Return the row for a configuration with a number of teams."""
     known = [
         Team(f"team{i}", (digest_key(f"key{i}".encode()),), 1, TeamLimit(1e6, 1e6))
         for i in range(teams)
@@ -50,7 +50,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     table = format_table(["teams", "µs a request"], [measure(teams) for teams in FLEETS])
     write_result("access", __doc__ or "", table)
 
--- a/benchmarks/adopt.py
+++ b/benchmarks/adopt.py
@@ -1,4 +1,4 @@
-"""What a configuration change costs an entry: bytes to fetch and processor time to adopt."""
+"""Cost of a configuration change for an entry: bytes fetched, and processor time to adopt it."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 from halldoor.core.steering.snapshot import Snapshot
 
 ROUNDS = 5
+"""Rounds, of which the fastest is reported: other load on the machine only adds time."""
 CHANGES_A_DAY = 3_300
+"""Rate of changes for which the cost per second is computed."""
 SITES = [10, 30, 60, 120]
-"""Sites, each a service of its own with ten targets; halls and entries grow with them."""
+"""Numbers of sites.  Each site has its own service and ten targets; halls and entries grow with
+the number of sites."""
 
 
 def main() -> None:
-    """Measure and write the table."""
+    """Run all measurements and write the table."""
     rows = [_measure(sites) for sites in SITES]
     head = [
         "sites",
@@ -43,7 +46,7 @@
 
 
 def make_large(sites: int) -> Configuration:
-    """Make a configuration that grows to 30 halls and 840 entries at 120 sites."""
+    """Build a configuration for a number of sites; 120 sites have 30 halls and 840 entries."""
     halls = max(1, sites // 4)
     per_hall = 28
     address = {"ip": "10.0.0.1", "port": 7080}
@@ -88,7 +91,7 @@
 
 
 def _measure(sites: int) -> list[object]:
-    """Measure one size: a drain of one target."""
+    """Return the row for one number of sites; the measured change drains one target."""
     before = make_large(sites)
     after = edit_drain(before, "s0-t0", is_leaving=True)
     old, new = split_configuration(before), split_configuration(after)
--- a/benchmarks/blocks.py
+++ b/benchmarks/blocks.py
@@ -1,4 +1,4 @@
-"""Client blocks: memory and look-up cost up to 2.5 million, and memory while replaced."""
+"""Memory and look-up time of up to 2.5 million client blocks, and memory during replacement."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from halldoor.core.steering.block import BlockTable, pack_blocks
 
 SIZES = [100_000, 500_000, 1_000_000, 2_500_000]
+"""Numbers of client blocks."""
 LOOKUPS = 200_000
 
 
 def main() -> None:
-    """Measure and write the table."""
+    """Run all measurements and write the table."""
     rows = [_measure(size) for size in SIZES]
     head = [
         "blocks",
@@ -34,7 +35,10 @@
 
 
 def _make_blocks(size: int, shift: int) -> list[tuple[str, int]]:
-    """Make /28 blocks one after the other, each in another hall than before."""
+    """Build consecutive /28 blocks, each with another of 30 halls than the one before it.
+
+    Another ``shift`` gives every block another hall, so that all chunks change.
+    """
     return [
         (f"{a >> 24}.{a >> 16 & 255}.{a >> 8 & 255}.{a & 255}/28", (i + shift) % 30)
         for i in range(size)
@@ -43,9 +47,9 @@
 
 
 def _measure(size: int) -> list[float]:
-    """Load a table, look up, and replace all of it chunk by chunk."""
+    """Return the row for one size: load a table, replace all its chunks, and time look-ups."""
     old, new = pack_blocks(_make_blocks(size, 0)), pack_blocks(_make_blocks(size, 1))
-    # What an entry holds comes over the wire one chunk at a time; here from copies.
+    # An entry receives chunks one at a time and keeps no other copy; copying imitates that.
     gc.collect()
     tracemalloc.start()
     held = {name: bytes(bytearray(data)) for name, data in old.items()}
@@ -65,7 +69,7 @@
 
 
 def _time_lookups(table: BlockTable, size: int) -> list[float]:
-    """Time look-ups of random addresses, in batches of 100."""
+    """Return the median and 99th percentile of a look-up in µs, from batches of 100."""
     rng = random.Random(1)
     addresses = [0x01000000 + rng.randrange(size) * 16 for _ in range(LOOKUPS)]
     batches = []
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -1,4 +1,4 @@
-"""Processor time of one choice of a target, for keys that are known and new to an entry."""
+"""Processor time of choosing a target for a request, with and without a cached order of targets."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from halldoor.tests.choicekit import ChooserKit, make_catalog, make_route, make_target
 
 FLEETS = (60, 200, 400)
-"""Targets of the service."""
+"""Numbers of targets of the service."""
 ROUNDS = 7
-"""Rounds of which the fastest counts: what else the machine does only adds."""
+"""Rounds, of which the fastest is reported: other load on the machine only adds time."""
 KEYS = 50
-"""Keys in a round."""
+"""Affinity keys in a round."""
 
 
 def time_rounds(prepare: Callable[[], None], work: Callable[[], None]) -> float:
-    """Time a piece of work, in ms for each key; the fastest of some rounds."""
+    """Return the processor time of ``work`` in ms for each key, in the fastest round."""
     best = float("inf")
     for _ in range(ROUNDS):
         prepare()
@@ -30,7 +30,11 @@
 
 
 def measure(targets: int) -> list[object]:
-    """Measure a fleet: a key's first choice after a change of targets, and another one."""
+    """Return the row for a number of targets.
+
+    A key's first choice after a change of targets builds its order of targets; later choices use
+    the cached order.
+    """
     catalog = make_catalog(targets)
     chooser = ChooserKit(catalog)
     route = make_route()
@@ -48,7 +52,7 @@
 
 
 def _flip(catalog: Catalog) -> None:
-    """Change one target, so that every key's order is built again."""
+    """Change the slots of one target, so that every key's order of targets is rebuilt."""
     record = make_target("t0", hall="grq-a")
     known = catalog.find_target("t0")
     slots = 5 if known is not None and known.record.slots == 6 else 6
@@ -56,7 +60,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows = [measure(targets) for targets in FLEETS]
     header = ["targets", "after a change of targets, ms", "known key, ms"]
     write_result("choice", __doc__ or "", format_table(header, rows))
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What the measurements share: load, percentiles, process costs, tables and plots."""
+"""Functions shared by the benchmarks: load, percentiles, process costs, tables and plots."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 _TICKS = os.sysconf("SC_CLK_TCK")
+"""Clock ticks a second, the unit of processor times in /proc."""
 
 
 class Cost(NamedTuple):
-    """Processor seconds and resident megabytes of a process."""
+    """Processor time in seconds and resident memory in megabytes of a process."""
 
     cpu_s: float
     rss_mb: float
 
 
 def read_cost(pid: int) -> Cost:
-    """Read what a process has used so far."""
+    """Return the processor time and memory of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return Cost((int(fields[11]) + int(fields[12])) / _TICKS, pages * 4096 / 1e6)
 
 
 def get_percentile(values: Sequence[float], share: float) -> float:
-    """Return a percentile; nan where there are no values."""
+    """Return the value at a share of the sorted values, such as 0.99; nan without values."""
     ordered = sorted(values)
     if not ordered:
         return float("nan")
@@ -37,7 +38,10 @@
 
 
 def run_callers(call: Callable[[int], float], *, callers: int, seconds: float) -> list[float]:
-    """Call in several threads for a while and give all the times."""
+    """Call repeatedly in several threads for some seconds, and return all results of the calls.
+
+    ``call`` gets the number of its thread and returns the time that it took.
+    """
     times: list[float] = []
     ends = time.monotonic() + seconds
 
@@ -56,26 +60,26 @@
 
 
 def fit_line(xs: Sequence[float], ys: Sequence[float]) -> tuple[float, float, float]:
-    """Fit y = a + b x; gives a, b and the greatest residual."""
+    """Fit y = a + b x; return a, b and the largest absolute residual."""
     slope, intercept = statistics.linear_regression(xs, ys)
     residual = max(abs(y - intercept - slope * x) for x, y in zip(xs, ys, strict=True))
     return intercept, slope, residual
 
 
 def format_table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Write a table in Markdown."""
+    """Format a table in Markdown."""
     lines = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
     lines += ["| " + " | ".join(_format(v) for v in row) + " |" for row in rows]
     return "\n".join(lines)
 
 
 def _format(value: object) -> str:
-    """Write a cell."""
+    """Format a cell; floats get three significant digits."""
     return f"{value:.3g}" if isinstance(value, float) else str(value)
 
 
 def write_result(name: str, title: str, table: str, note: str = "") -> None:
-    """Print a result and write it where CAPACITY.md and the design notes point."""
+    """Print a result and write it to docs/measurements, where CAPACITY.md and designs link to it."""
     text = f"# {title}\n\nCommand: `python -m benchmarks.{name}`\n\n{table}\n"
     if note:
         text += f"\n{note}\n"
@@ -88,7 +92,7 @@
 def write_plot(
     name: str, x_label: str, y_label: str, series: dict[str, tuple[list[float], list[float]]]
 ) -> None:
-    """Draw lines into an SVG under docs/plots."""
+    """Plot lines by label into an SVG file in docs/plots."""
     import matplotlib as mpl
 
     mpl.use("svg")
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,7 @@
-"""What control costs an entry, against the number of entries, halls, targets and changes."""
+"""Control cost of an entry, by the number of entries, halls and targets.
+
+The control cost is that which callers' requests don't cause, such as of gossip and of changes.
+"""
 
 from __future__ import annotations
 
@@ -23,13 +26,15 @@
 from halldoor.standins.sample import make_configuration
 
 SECONDS = 8.0
+"""Time over which the idle cost is measured."""
 CHANGES = 4
+"""Changes of the configuration whose time until in force is measured."""
 START_LIMIT_S = 120.0
-"""64 processes import their libraries at once on a few cores."""
+"""Longest start of entries, in seconds: 64 processes import libraries at once on a few cores."""
 
 
 class Size(NamedTuple):
-    """An installation: halls, entries in each, targets in each, relays that rotate or not."""
+    """Size of an installation: halls, entries and targets in each, and whether relays rotate."""
 
     halls: int
     entries: int
@@ -44,7 +49,7 @@
 
 
 def main() -> None:
-    """Measure every size and write the tables, the fits and the plots."""
+    """Measure every size, and write the table, the fits and the plots."""
     head = [
         "halls",
         "entries",
@@ -89,7 +94,7 @@
 
 
 def _fit(what: str, sizes: list[Size], xs: list[int], results: dict[Size, list[float]]) -> str:
-    """Fit the main figures against one size."""
+    """Return a line of text with the main figures fitted against one dimension of the size."""
     parts = []
     for name, column in (("CPU %", 0), ("sent KB/s", 2), ("RSS MB", 6), ("platform calls/s", 7)):
         start, slope, residual = fit_line(
@@ -101,7 +106,7 @@
 
 @contextmanager
 def open_fleet(size: Size) -> Iterator[Fleet]:
-    """Start an installation of a size, on small stand-ins."""
+    """Start an installation of a size with stand-ins, and stop it at the end."""
     names = {f"{chr(97 + i % 10)}{i}": size.entries for i in range(size.halls)}
     with Fleet.open() as fleet:
         configuration = make_configuration(halls=names, targets=size.targets)
@@ -118,7 +123,7 @@
 
 
 def _measure(size: Size) -> list[float]:
-    """Measure one size: first idle, then with changes."""
+    """Return the figures of one size: costs while idle, then times of changes."""
     with open_fleet(size) as fleet:
         entries = [e["name"] for h in fleet.configuration["halls"] for e in h["entries"]]
         time.sleep(4.0)
@@ -148,12 +153,12 @@
 
 
 def _mean(values: list[float]) -> float:
-    """Return the mean."""
+    """Return the arithmetic mean."""
     return sum(values) / len(values)
 
 
 def _read_all(fleet: Fleet, entries: list[str]) -> list[tuple[Cost, Any]]:
-    """Read the cost and the counters of every entry."""
+    """Read the process cost and the control counters of every entry."""
     return [
         (
             read_cost(fleet.processes[name].pid),
@@ -164,13 +169,13 @@
 
 
 def _count_calls(fleet: Fleet) -> int:
-    """Count all calls that the platform took, waiting watches included."""
+    """Return the number of calls that the platform received, including watches that wait."""
     stats = fleet.http.request("GET", f"{fleet.platform_url}/stats")
     return sum(msgspec.json.decode(stats.data, type=dict[str, int]).values())
 
 
 def _time_change(fleet: Fleet, entries: list[str], number: int) -> list[float]:
-    """Time from an accepted change to in force, at every entry."""
+    """Make a change, and return the seconds until it was in force at each entry."""
     options = ["--back"] if number % 2 else []
     target = fleet.configuration["targets"][0]["name"]
     done = fleet.run_cli("drain", target, *options)
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -1,4 +1,4 @@
-"""Ways to know, over all entries, that targets end under a request, in virtual time."""
+"""Ways for entries to detect together that a request crashes targets, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 )
 
 FLEETS = (10, 75, 300)
-"""Entries."""
+"""Numbers of entries."""
 SEEDS = range(4)
+"""Seeds of the runs; each row reports the worst run unless its column says otherwise."""
 UNTIL_S = 12.0
+"""Length of a run, in seconds."""
 WAYS: dict[str, type[CountingWay]] = {
-    "each sending by itself": NoSum,
-    "own ends": OwnSum,
-    "tell all": TellAll,
+    "no counting": NoSum,
+    "each entry's own crashes": OwnSum,
+    "broadcast to all entries": TellAll,
     "a record in the store": StoreSum,
     "collectors": Collectors,
     "collectors, and a record": CollectorsAndRecord,
@@ -30,17 +32,21 @@
     "0.2 of the messages lost": Trouble(loss=0.2),
     "halls cut from each other": Trouble(cut_s=(0.0, UNTIL_S)),
     "store away for 4 s": Trouble(away_s=(0.0, 4.0)),
-    "all start again after 1 s": Trouble(restart_s=1.0),
+    "all restart after 1 s": Trouble(restart_s=1.0),
 }
 
 
 def play(way: str, fleet: Fleet, trouble: Trouble, seed: int) -> Run:
-    """Play one way."""
+    """Run one way of counting crashes under a fault."""
     return Run(fleet, trouble, seed=seed).play(WAYS[way](), until_s=UNTIL_S)
 
 
 def describe(way: str, entries: int) -> list[object]:
-    """Return the row of one way: sendings too late by trouble, ends, and its price."""
+    """Return the row of one way of counting crashes.
+
+    Columns: requests sent too late under each fault, crashed targets, messages and store calls, and
+    the effect on a healthy request that runs at targets that crash for other reasons.
+    """
     fleet = Fleet(entries=entries)
     by_trouble = {n: [play(way, fleet, t, seed) for seed in SEEDS] for n, t in TROUBLES.items()}
     late = [max(run.count_late() for run in runs) for runs in by_trouble.values()]
@@ -62,17 +68,17 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows = [describe(way, entries) for entries in FLEETS for way in WAYS]
     header = [
         "entries",
         "way",
         *(f"sent too late: {name}" for name in TROUBLES),
-        "targets ended, no trouble",
+        "targets crashed, no trouble",
         "messages",
         "store calls",
         "messages, store calls where 500 different requests lose their targets at once",
-        "sound request beside ends of its targets: served, refused",
+        "healthy request whose targets crash for other reasons: served, refused",
     ]
     write_result("crashes", __doc__ or "", format_table(header, rows))
 
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -1,4 +1,4 @@
-"""How much of a region's requests changes its region at once, in virtual time."""
+"""Share of a region's requests that moves to another region within 2 s, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
     "a hall of two is taken back cold": RETURN,
     "both halls of a region are": RETURN_REGION,
 }
-"""Patterns by what makes requests change their region."""
+"""Load patterns, by the event that makes requests move to another region."""
 WAYS: dict[str, dict[str, Any]] = {
     "as it is": {},
     "the region's share at any speed": {"max_shift": 1e9},
     "one target a key": {"spill_choices": 1},
 }
-"""Settings of the choice by name."""
+"""Changed settings of the choice of targets, by the name in the table."""
 
 
 def main() -> None:
-    """Play every cause with every way; plays of all seeds are summed up, since chance moves too."""
+    """Run every pattern with all settings, and write the table.
+
+    Runs of all seeds are added up, because in a single run chance also moves requests.
+    """
     rows: list[list[object]] = []
     for cause, pattern in CAUSES.items():
         for way, settings in WAYS.items():
--- a/benchmarks/inforce.py
+++ b/benchmarks/inforce.py
@@ -10,13 +10,15 @@
 from halldoor.standins.virtualtime import run
 
 FLEETS = ((30, 6), (100, 6), (300, 6), (830, 30))
-"""Entries and halls."""
+"""Pairs of numbers of entries and halls."""
 TARGETS_AN_ENTRY = 6
 CHANGES_PER_S = 20.0
-"""Changes of targets beside, a second: 500 times what 3,300 changes a day make."""
+"""Changes of target records a second meanwhile: 500 times the rate of 3,300 a day."""
 VERSIONS = 6
+"""Versions of the configuration whose time is measured."""
 GAP_S = 0.83
-"""Time between two versions, in seconds: no multiple of any pause."""
+"""Time between two versions, in seconds; no multiple of any period in the store's protocol, so that
+versions meet its periods at different phases."""
 HEADER = [
     "entries, halls",
     "in force everywhere after, s: least",
@@ -26,7 +28,7 @@
 
 
 async def measure(entries: int, halls: int) -> list[object]:
-    """Measure a fleet while targets change."""
+    """Return the row for a fleet, measured while target records change."""
     fleet = StoreFleet(entries=entries, halls=halls, targets=TARGETS_AN_ENTRY * entries)
     fleet.configure(1)
     await fleet.start(within_s=0.5)
@@ -48,7 +50,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows: list[list[object]] = []
 
     async def measure_all() -> None:
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -1,4 +1,4 @@
-"""Latency that an entry adds, and look-ups a second of one process."""
+"""Latency that an entry adds to a request, and look-ups a second of one process."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 ROUNDS = 3
 CALLERS = 3
 WORK_S = 0.01
-"""Three callers on two targets with three own slots each: half load."""
+"""Work of a request, in seconds.  Three callers use half of the six slots of two targets."""
 
 
 def main() -> None:
-    """Measure and write the tables."""
+    """Run all measurements and write the table."""
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 1}, slots=3)
         fleet.start_platform()
@@ -33,7 +33,7 @@
 
 
 def _measure_requests(fleet: Fleet, number: int) -> list[list[object]]:
-    """Compare direct calls with calls through the entry, in turn."""
+    """Return the rows of one round: direct calls to a target, then calls through the entry."""
     path = f"/s/decks/read/x?work_s={WORK_S}"
     target, entry = fleet.find_port("a1-t1"), fleet.find_port("a1-e1")
     direct = _measure(target, f"/read/x?work_s={WORK_S}")
@@ -44,7 +44,7 @@
 
 
 def _measure(port: int, path: str, *, callers: int = CALLERS) -> list[float]:
-    """Measure requests/s, median and p99 in ms."""
+    """Return requests a second, and median and 99th percentile of the latency in ms."""
     pools = [urllib3.HTTPConnectionPool(IP, port, maxsize=1) for _ in range(callers)]
 
     def call(number: int) -> float:
@@ -63,7 +63,10 @@
 
 
 def _measure_lookups(fleet: Fleet, number: int) -> list[object]:
-    """Measure look-ups with callers in processes of their own, so that they cost us nothing."""
+    """Return the row of look-ups.
+
+    Callers run in processes of their own, so that they don't share the entry's interpreter lock.
+    """
     import subprocess
     import sys
 
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -12,14 +12,15 @@
 from halldoor.standins.ratefleet import Bound, RateWay, Run, Trouble
 
 FLEETS = (10, 75, 300)
-"""Entries."""
+"""Numbers of entries."""
 SEEDS = range(4)
+"""Seeds of the runs; each row reports the worst run unless its column says otherwise."""
 UNTIL_S = 30.0
 """Length of a run, in seconds."""
 BOUND_S = 2.0
 """Time after the target's first statement from which a request counts as late, in seconds."""
 ASKED_PER_S = {"busy target": 30.0, "seldom used target": 6.0}
-"""Requests a second for the target, at any entry."""
+"""Requests a second for the target, over all entries."""
 TROUBLES = {
     "none": Trouble(),
     "half isolated": Trouble(cut_share=0.5, is_isolated=True, cut_to_s=UNTIL_S),
@@ -35,7 +36,7 @@
 
 
 def describe(load: str, entries: int, trouble: str, way: str) -> list[object]:
-    """Return the row of one way: the worst of the seeds."""
+    """Return the row of one way to learn that a target leaves, with the worst of the seeds."""
     bound = Bound(ASKED_PER_S[load], 1.0, 0.0, 1.0)
     runs = [
         Run(entries, bound, TROUBLES[trouble], asked_per_s=ASKED_PER_S[load], seed=seed).play(
@@ -49,7 +50,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows = [
         describe(load, entries, trouble, way)
         for load in ASKED_PER_S
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,4 +1,4 @@
-"""What an order costs: latency by ticket and by own id, and platform writes per order."""
+"""Cost of an order: latency with a ticket and with the caller's id, and platform writes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from halldoor.standins.sample import make_configuration
 
 SECONDS = 5.0
+"""Length of each measurement."""
 ORDER = "/s/decks/order"
 _numbers = count(1)
 _lock = threading.Lock()
 
 
 def make_id() -> str:
-    """Make a version 7 UUID."""
+    """Build a unique UUID of version 7, as an operation id."""
     with _lock:
         number = next(_numbers)
     value = (int(time.time() * 1000) << 80) | (7 << 76) | (2 << 62) | number
@@ -28,7 +29,7 @@
 
 
 def main() -> None:
-    """Measure and write the table."""
+    """Run all measurements and write the table."""
     rows = []
     for callers in (1, 8, 24):
         for kind in ("read", "ticket", "own id"):
@@ -43,7 +44,7 @@
 
 
 def _measure(fleet: Fleet, kind: str, callers: int) -> list[object]:
-    """Measure one kind at one number of callers, over two entries."""
+    """Return the row for one kind of request and number of callers, with two entries."""
     configuration = make_configuration(halls={"a1": 2}, targets=4)
     fleet.start_platform()
     fleet.apply(configuration)
@@ -78,7 +79,7 @@
 
 
 def _count_writes(fleet: Fleet) -> int:
-    """Count the platform's writes so far."""
+    """Return the number of writes that the platform has received."""
     stats = fleet.http.request("GET", f"{fleet.platform_url}/stats")
     return int(msgspec.json.decode(stats.data).get("PUT kv", 0))
 
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,4 +1,4 @@
-"""Compare routing policies in one hall of each deployment, under load and target faults."""
+"""Comparison of routing policies in one hall of each deployment, with and without target faults."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 SECONDS = 4.0
 TARGETS = 4
 CALLERS = 14
-"""On four targets of six slots: a little more than half of the room."""
+"""Callers, which use a little over half of the 24 slots of four targets."""
 
 
 class Deployment(NamedTuple):
-    """A hall of one of the users: work of a request, lag of the load reports."""
+    """Hall of one of the users: time a request takes, and lag of load reports, in seconds."""
 
     name: str
     work_s: float
@@ -27,7 +27,7 @@
 
 
 class Scenario(NamedTuple):
-    """What is wrong with the first target."""
+    """Fault of the first target, as settings of its stand-in."""
 
     name: str
     behaviour: dict[str, Any]
@@ -43,7 +43,7 @@
 
 
 def main() -> None:
-    """Measure and write the table."""
+    """Run all measurements and write the table."""
     rows = [
         _measure(deployment, scenario, policy)
         for deployment in DEPLOYMENTS
@@ -65,7 +65,7 @@
 
 
 def _measure(deployment: Deployment, scenario: Scenario, policy: str) -> list[object]:
-    """Run one policy in one scenario."""
+    """Return the row for one policy in one scenario."""
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 2}, targets=TARGETS, deadline_s=2.0)
         fleet.start_platform()
@@ -112,13 +112,13 @@
 
 
 def _break_target(fleet: Fleet, deployment: Deployment, scenario: Scenario) -> None:
-    """Bring about what is wrong with the first target."""
+    """Cause the scenario's fault at the first target."""
     behaviour = dict(scenario.behaviour)
     if "latency_factor" in behaviour:
         factor = behaviour.pop("latency_factor")
         behaviour["latency_s"] = deployment.work_s * factor
     if behaviour.pop("cold", False):
-        # A restart makes it young, which the probes notice, and slow for four seconds.
+        # After a restart the target is slow for four seconds, and health checks see it as new.
         name = fleet.configuration["targets"][0]["name"]
         fleet.kill(name)
         port = fleet.configuration["targets"][0]["address"]["port"]
@@ -129,7 +129,7 @@
 
 
 def _sample_free(fleet: Fleet, free: list[float], is_over: threading.Event) -> None:
-    """Sample the smallest free share of any target, as the targets see it."""
+    """Sample the smallest free share of slots among the targets, as they report it themselves."""
     names = [t["name"] for t in fleet.configuration["targets"]]
     while not is_over.is_set():
         shares = []
@@ -141,7 +141,7 @@
 
 
 def _measure_drain(fleet: Fleet, call: Any) -> float:
-    """Measure the time from an accepted drain to the last request at the target."""
+    """Return the seconds from an accepted drain to the last request that the target answered."""
     is_over = threading.Event()
 
     def keep_calling(number: int) -> None:
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,4 +1,4 @@
-"""Ways to keep teams' quotas over all entries together, in virtual time."""
+"""Ways to enforce teams' quotas over all entries together, in virtual time."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 )
 
 FLEETS = (12, 75, 300)
-"""Entries."""
+"""Numbers of entries."""
 RATES = (6.0, 60.0, 174.0)
-"""Requests a second of a small, a middling and the largest of 80 teams; as many at once."""
+"""Rates a second, and equal bursts, of a small, a medium and the largest of 80 teams."""
 USUAL = 0.6
-"""What a team usually asks for, in parts of its rate."""
+"""Usual load of a team, as a share of its rate."""
 PATTERNS = {
     "usual": (1.0, None),
     "callers on few entries": (1.0, 0.1),
     "7.5 times the usual for 7 s": (7.5, None),
 }
-"""Load patterns: the factor of a surge, and the part of the entries that most callers use."""
+"""Load patterns: factor of the surge, and share of the entries that most callers use; None for
+equal use of all."""
 WAYS: dict[str, type[QuotaWay]] = {
     "equal parts": EqualParts,
     "parts by demand": DemandParts,
@@ -34,10 +35,11 @@
     "shares of a collector": CollectorShares,
 }
 UNTIL_S = 14.0
+"""Length of a run, in seconds."""
 
 
 def play(way: type[QuotaWay], entries: int, rate: float, pattern: str, seed: int) -> Run:
-    """Play one team under a pattern."""
+    """Run one team under a load pattern."""
     factor, crowd = PATTERNS[pattern]
     weights = None
     if crowd is not None:
@@ -53,7 +55,11 @@
 
 
 def describe(name: str, entries: int, pattern: str) -> list[object]:
-    """Return the row of one way: the worst of the teams' windows, and what is wrongly refused."""
+    """Return the row of one way to enforce quotas.
+
+    Columns: the most admitted in any window of 5 s relative to the bound, the share admitted of the
+    requests that the quota allows, by team, and the traffic.
+    """
     runs = [play(WAYS[name], entries, rate, pattern, seed) for seed, rate in enumerate(RATES)]
     worst = max(run.find_worst_window() / run.bound for run in runs)
     admitted = [f"{len(run.admitted) / run.count_allowed():.2f}" for run in runs]
@@ -62,7 +68,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows = [describe(w, n, p) for n in FLEETS for p in PATTERNS for w in WAYS]
     header = [
         "entries",
--- a/benchmarks/rates.py
+++ b/benchmarks/rates.py
@@ -15,10 +15,11 @@
 )
 
 FLEETS = (10, 75, 300)
-"""Entries."""
+"""Numbers of entries."""
 SEEDS = range(4)
+"""Seeds of the runs; each row reports the worst run unless its column says otherwise."""
 ASKED_PER_S = 30.0
-"""Requests a second that would go to the target if nothing bounded them."""
+"""Requests a second that would be sent to the target without a limit."""
 BOUNDS = {
     "cold, 11 of 18.5 a second": Bound(11.0, 1.0, 18.5, 1.0),
     "named limit of 6.5 a second": Bound(6.5, 4.0, 1.5 * 6.5 * 4 + 5, 2.0),
@@ -42,7 +43,11 @@
 
 
 def describe(bound: str, entries: int, trouble: str, way: str) -> list[object]:
-    """Return the row of one way: the worst of the seeds, and the mean part that was used."""
+    """Return the row of one way to divide a rate, with the worst window of the seeds.
+
+    Further columns have the mean share of the rate that was used, by connected entries and by
+    entries that were cut off.
+    """
     runs = [
         Run(entries, BOUNDS[bound], TROUBLES[trouble], asked_per_s=ASKED_PER_S, seed=seed).play(
             WAYS[way]()
@@ -59,7 +64,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows = [describe(b, n, t, w) for b in BOUNDS for n in FLEETS for t in TROUBLES for w in WAYS]
     header = [
         "bound",
--- a/benchmarks/reaction.py
+++ b/benchmarks/reaction.py
@@ -1,4 +1,4 @@
-"""How fast entries react: leaving targets by source, cuts that heal, planned stops."""
+"""Reaction times of entries: leaving targets by source, healed network cuts, planned stops."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Measure and write the table."""
+    """Run all measurements and write the table."""
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 2, "b1": 2})
         fleet.use_relays(configuration)
@@ -38,25 +38,25 @@
         ]
     head = ["what", "rounds", "least s", "greatest s"]
     note = (
-        "Leaving: from the word to the last request that the target answered, under load. "
+        "Leaving: from the notice to the last request that the target answered, under load. "
         "Cut: from its end to the revision that was missed. Stop: with look-ups kept for 1 s."
     )
     write_result("reaction", "How fast entries react", format_table(head, rows), note)
 
 
 def _drain(fleet: Fleet) -> None:
-    """Drain by the command line; the time counts from the accepted change."""
+    """Drain the target by the command line, which returns once the change is accepted."""
     fleet.run_cli("drain", "a1-t1")
 
 
 def _set_hosts(fleet: Fleet, is_leaving: bool) -> None:
-    """Set the platform's host list."""
+    """Mark the target as leaving, or not leaving, in the platform's host list."""
     body = json.dumps({"a1-t1": is_leaving})
     fleet.http.request("PUT", f"{fleet.platform_url}/hosts", body=body)
 
 
 def _measure(what: str, say: Callable[[], None], fleet: Fleet) -> list[object]:
-    """Measure one source of "leaving"."""
+    """Measure the time from a notice that the target leaves, by one source, to its last request."""
     times = []
     for _ in range(ROUNDS):
         is_over = threading.Event()
@@ -86,7 +86,7 @@
 
 
 def _restore(fleet: Fleet) -> None:
-    """Let the target come back, and wait until it does."""
+    """Undo every notice that the target leaves, and wait until all entries use it again."""
     fleet.control("a1-t1", leaving=False)
     fleet.run_cli("drain", "a1-t1", "--back")
     _set_hosts(fleet, False)
@@ -99,7 +99,7 @@
 
 
 def _measure_heal(fleet: Fleet) -> list[object]:
-    """Measure how fast a hall catches up that was cut off from everything."""
+    """Measure how fast a hall that was cut off applies a missed revision after the cut heals."""
     times = []
     for i in range(ROUNDS):
         for other in ("127.0.0.", "127.0.2."):
@@ -122,7 +122,7 @@
 
 
 def _measure_stop(fleet: Fleet) -> list[object]:
-    """Measure a planned stop under no load."""
+    """Measure the time of a planned stop of an entry without load."""
     times = []
     for _ in range(ROUNDS):
         times.append(fleet.stop("b1-e1"))
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -1,4 +1,4 @@
-"""What each mechanism of the choice of targets is worth under load patterns, in virtual time."""
+"""Effect of each mechanism of the choice of targets under load patterns, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 SEEDS = (1, 2, 3)
 WARM_UP_S = 6.0
-"""Seconds at the start whose cold starts are told apart."""
+"""Seconds at the start that the column "after 6 s" leaves out, since keys are cold then."""
 POLICIES: dict[str, dict[str, Any]] = {
     "as it is": {},
     "no preference of the own region": {"region_fill": 0.0, "near_region_fill": 0.0},
@@ -22,12 +22,13 @@
     "one target a key": {"spill_choices": 1},
     "no limit of waits": {"wait_limit": 0.0},
 }
-"""Settings of the choice by name; `FADING` is not a setting."""
+"""Changed settings of the choice of targets, by the name in the table."""
 FADING = "reports fade in 0.2 s and 3 s"
+"""Name of the policy with fixed decay times of load reports, which no setting can select."""
 
 
 def use(settings: dict[str, Any]) -> Callable[[ModelEntry], None]:
-    """Return a change of every entry's settings."""
+    """Return a function that overrides settings of an entry's choice of targets."""
 
     def adapt(entry: ModelEntry) -> None:
         entry.chooser.settings = entry.chooser.settings._replace(**settings)
@@ -36,12 +37,12 @@
 
 
 def play(pattern: Pattern, settings: dict[str, Any]) -> list[Tally]:
-    """Play a pattern with several seeds."""
+    """Run a load pattern once with each seed."""
     return [Replay(pattern, seed=seed, adapt=use(settings)).run() for seed in SEEDS]
 
 
 def describe(what: str, policy: str, tallies: list[Tally]) -> list[object]:
-    """Return the row of one policy: means over the seeds."""
+    """Return the row of one policy, with means over the seeds."""
 
     def average(read: Callable[[Tally], float]) -> float:
         return sum(map(read, tallies)) / len(tallies)
@@ -59,7 +60,7 @@
 
 
 def main() -> None:
-    """Play every pattern with every policy and write the table."""
+    """Run every load pattern with every policy, and write the table."""
     rows = []
     for what, pattern in PATTERNS.items():
         for policy, settings in POLICIES.items():
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,4 +1,4 @@
-"""Calls to the store, and time to be in step, where all entries read everything at once."""
+"""Calls to the store, and time until all entries are up to date, when all read everything."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from halldoor.standins.virtualtime import run
 
 FLEETS = ((12, 6), (75, 6), (300, 6), (830, 30))
-"""Entries and halls."""
+"""Pairs of numbers of entries and halls."""
 TARGETS_AN_ENTRY = 6
 WINDOW_S = 3.0
 """Time over which calls are counted, in seconds."""
@@ -27,7 +27,7 @@
 
 
 async def measure(entries: int, halls: int) -> list[list[object]]:
-    """Measure a fleet: all start, one after the other starts, the store is restored."""
+    """Return the rows for a fleet: first start, no event, restored store, and restart of all."""
     fleet = StoreFleet(entries=entries, halls=halls, targets=TARGETS_AN_ENTRY * entries)
     fleet.configure(1)
     rows = []
@@ -76,7 +76,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows: list[list[object]] = []
 
     async def measure_all() -> None:
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -1,4 +1,4 @@
-"""Ways to honour the rest that a target asks for, and to return after it, in virtual time."""
+"""Ways to respect a back-off that a target requests, and to resume after it, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 )
 
 FLEETS = (10, 75, 300)
-"""Entries."""
+"""Numbers of entries."""
 SEEDS = range(4)
+"""Seeds of the runs; each row reports the worst run unless its column says otherwise."""
 UNTIL_S = 18.0
 """Length of a run, in seconds."""
 RETURN_S = 6.0
-"""Time after the target's need in which the return is looked at, in seconds."""
+"""Time after the target accepts requests again that is evaluated, in seconds."""
 WAVE_S = 0.25
-"""Window of the wave, in seconds."""
+"""Window in which the largest number of requests is counted, in seconds."""
 ASKED_PER_S = 40.0
-"""Requests a second for the target, at any entry: about what its slots take."""
+"""Requests a second for the target, over all entries: about what its slots can serve."""
 NEEDS = {"all turned away for 6 s": Need(), "one entry turned away": Need(only_first=True)}
 TROUBLES = {
     "none": Trouble(),
@@ -43,13 +44,16 @@
 
 
 def count_wave(run: Run, need: Need) -> int:
-    """Return the most requests in a short window after the need."""
+    """Return the most requests in any `WAVE_S` after the target accepts requests again."""
     times = sorted(at for at, _ in run.sent if need.to_s <= at < need.to_s + RETURN_S)
     return max((sum(at <= t < at + WAVE_S for t in times) for at in times), default=0)
 
 
 def describe(need: str, entries: int, trouble: str, way: str) -> list[object]:
-    """Return the row of one way: the worst of the seeds, and the mean part that was sent."""
+    """Return the row of one way to back off and resume, with the worst of the seeds.
+
+    The shares of requests that were sent are means over the seeds.
+    """
     bound = Bound(ASKED_PER_S, 1.0, 0.0, 1.0)
     ways = [WAYS[way](NEEDS[need]) for _ in SEEDS]
     for seed, played in zip(SEEDS, ways, strict=True):
@@ -80,7 +84,7 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows = [describe(n, e, t, w) for n in NEEDS for e in FLEETS for t in TROUBLES for w in WAYS]
     header = [
         "need",
--- a/benchmarks/slots.py
+++ b/benchmarks/slots.py
@@ -1,4 +1,4 @@
-"""How much of the targets' room is usable: all entries up, cut, and one dead."""
+"""Usable share of the targets' slots: with all entries up, cut from each other, and one dead."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 CALLERS = 24
 WORK_S = 0.2
 PAUSE_S = 0.1
-"""Pause of a caller after a refusal, a tenth of what it is told."""
+"""Pause of a caller after a refusal, in seconds: a tenth of the Retry-After that it receives."""
 
 
 def _do_nothing(fleet: Fleet) -> None:
-    """Leave everything up."""
+    """Leave all entries up and connected."""
 
 
 def _cut(fleet: Fleet) -> None:
-    """Cut the two entries from each other."""
+    """Cut the network between the two entries."""
     fleet.cut("127.0.1.1", "127.0.1.2")
 
 
 def _kill(fleet: Fleet) -> None:
-    """Kill the second entry."""
+    """Kill the process of the second entry."""
     fleet.kill("a1-e2")
 
 
@@ -40,14 +40,14 @@
 
 
 def main() -> None:
-    """Measure and write the table."""
+    """Run all measurements and write the table."""
     rows = [_measure(*case) for case in CASES]
     head = ["case", "served/s", "used share of slots", "greatest over slots", "median ms"]
     write_result("slots", "Usable share of the targets' slots", format_table(head, rows))
 
 
 def _measure(what: str, fault: Callable[[Fleet], None], entries: list[str]) -> list[object]:
-    """Flood one hall and see how busy its targets get."""
+    """Return the row of one case: the share of slots in use while callers saturate a hall."""
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 2}, deadline_s=2.0)
         fleet.use_relays(configuration)
--- a/benchmarks/withdrawals.py
+++ b/benchmarks/withdrawals.py
@@ -1,4 +1,4 @@
-"""Time from the store's word that a target drains or is gone until the entries exclude it."""
+"""Time from the store's record that a target drains or is removed until all entries exclude it."""
 
 from __future__ import annotations
 
@@ -25,10 +25,11 @@
 )
 
 SEEDS = 4
-"""Withdrawals of each kind with each pair of faults."""
+"""Withdrawals of each kind with each combination of faults."""
 WORKERS = 2
+"""Processes that run combinations of faults at the same time."""
 TRAVEL_S = 0.3
-"""Part of the bound that is left for connecting and travelling, in seconds."""
+"""Part of the bound reserved for connecting and network delay, in seconds."""
 HEADER = [
     "entries",
     "faults",
@@ -46,13 +47,13 @@
 
 
 def list_faults() -> Iterator[tuple[str, ...]]:
-    """List no fault, each fault, and each pair."""
+    """Yield the combinations of at most two faults, starting with none."""
     for count in range(3):
         yield from itertools.combinations(FAULTS, count)
 
 
 def measure_faults(deployment: Deployment, faults: Sequence[str]) -> dict[Way, Times]:
-    """Measure withdrawals while some faults act."""
+    """Measure withdrawals of each kind while some faults are active."""
     times = {way: Times([], []) for way in Way}
 
     async def measure_all() -> None:
@@ -70,7 +71,7 @@
 
 
 def build_row(deployment: Deployment, faults: Sequence[str]) -> list[object]:
-    """Measure some faults and build their row."""
+    """Return the row of a combination of faults."""
     times = measure_faults(deployment, faults)
     last = max(max(t.in_touch) for t in times.values())
     others = [time for t in times.values() for time in t.others]
@@ -85,13 +86,16 @@
 
 
 def _format(times: list[float]) -> str:
-    """Write the first, the median, the 99th percentile and the last."""
+    """Format the first, the median, the 99th percentile and the last of some times."""
     values = (min(times), get_percentile(times, 0.5), get_percentile(times, 0.99), max(times))
     return ", ".join(f"{value:.2f}" for value in values)
 
 
 def main() -> None:
-    """Measure, and write the table; arguments choose the pairs that name them all."""
+    """Run all measurements and write the table.
+
+    With faults as arguments, run only the combinations that have all of them, and only print them.
+    """
     wanted = set(sys.argv[1:])
     cases = [
         (deployment, faults)
