--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -79,7 +79,7 @@
 
 
 def write_result(name: str, title: str, table: str, note: str = "") -> None:
-    """Print a result and write it to docs/measurements, where CAPACITY.md and designs link to it."""
+    """Print a result and write it to docs/measurements, to which CAPACITY.md and designs link."""
     text = f"# {title}\n\nCommand: `python -m benchmarks.{name}`\n\n{table}\n"
     if note:
         text += f"\n{note}\n"
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -27,6 +27,7 @@
     "collectors": Collectors,
     "collectors, and a record": CollectorsAndRecord,
 }
+"""Ways to count crashes, by the name in the table."""
 TROUBLES = {
     "none": Trouble(),
     "0.2 of the messages lost": Trouble(loss=0.2),
@@ -34,6 +35,7 @@
     "store away for 4 s": Trouble(away_s=(0.0, 4.0)),
     "all restart after 1 s": Trouble(restart_s=1.0),
 }
+"""Faults by the name in the table."""
 
 
 def play(way: str, fleet: Fleet, trouble: Trouble, seed: int) -> Run:
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -28,11 +28,13 @@
     "nine tenths of the messages lost": Trouble(loss=0.9),
     "all restart": Trouble(restart_s=8.0),
 }
+"""Faults by the name in the table."""
 WAYS: dict[str, type[RateWay]] = {
     "own answers": OwnAnswers,
     "notices": NotifiedEntries,
     "notices, passed on": ForwardedNotices,
 }
+"""Ways to learn that a target leaves, by the name in the table."""
 
 
 def describe(load: str, entries: int, trouble: str, way: str) -> list[object]:
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -34,6 +34,7 @@
     "tokens of a home entry": HomeTokens,
     "shares of a collector": CollectorShares,
 }
+"""Ways to enforce quotas, by the name in the table."""
 UNTIL_S = 14.0
 """Length of a run, in seconds."""
 
--- a/benchmarks/rates.py
+++ b/benchmarks/rates.py
@@ -25,6 +25,7 @@
     "named limit of 6.5 a second": Bound(6.5, 4.0, 1.5 * 6.5 * 4 + 5, 2.0),
     "named limit of 0.5 a second": Bound(0.5, 4.0, 1.5 * 0.5 * 4 + 5, 2.0),
 }
+"""Rate limits by the name in the table."""
 TROUBLES = {
     "none": Trouble(),
     "half without the store": Trouble(cut_share=0.5),
@@ -34,12 +35,14 @@
     "a fifth of the messages lost": Trouble(loss=0.2),
     "all restart": Trouble(restart_s=6.0),
 }
+"""Faults by the name in the table."""
 WAYS: dict[str, type[RateWay]] = {
     "equal token buckets": EqualBuckets,
     "grants of a home entry": HomeGrants,
     "ranked shares": RankedShares,
     "ranked shares, lapsed entries counted": SteadyRankedShares,
 }
+"""Ways to divide the rate, by the name in the table."""
 
 
 def describe(bound: str, entries: int, trouble: str, way: str) -> list[object]:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -34,6 +34,7 @@
     now = asyncio.get_running_loop().time
 
     async def count(what: str, version: int, began: float, bytes_before: int) -> None:
+        """Wait until all are up to date, and add the row with the calls within `WINDOW_S`."""
         took_s = await fleet.wait(version) + now() - began if what else 0.0
         took_s = now() - began
         await asyncio.sleep(max(0.0, began + WINDOW_S - now()))
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -27,12 +27,14 @@
 ASKED_PER_S = 40.0
 """Requests a second for the target, over all entries: about what its slots can serve."""
 NEEDS = {"all turned away for 6 s": Need(), "one entry turned away": Need(only_first=True)}
+"""When and whom the target refuses, by the name in the table."""
 TROUBLES = {
     "none": Trouble(),
     "half isolated": Trouble(cut_share=0.5, is_isolated=True),
     "a fifth of the messages lost": Trouble(loss=0.2),
     "all restart": Trouble(restart_s=5.0),
 }
+"""Faults by the name in the table."""
 WAYS: dict[str, type[OwnRests]] = {
     "own rests": OwnRests,
     "notices": NotifiedRests,
@@ -41,6 +43,7 @@
     "the same, slow start": SlowStart,
     "the same, doubling shares": DoublingShares,
 }
+"""Ways to back off and resume, by the name in the table."""
 
 
 def count_wave(run: Run, need: Need) -> int:
--- a/benchmarks/slots.py
+++ b/benchmarks/slots.py
@@ -37,6 +37,7 @@
     ("cut from each other, callers at one", _cut, ["a1-e1"]),
     ("one dead, callers at the other", _kill, ["a1-e1"]),
 ]
+"""Cases: name in the table, fault, and the entries that callers use."""
 
 
 def main() -> None:
--- a/halldoor/cli/operator.py
+++ b/halldoor/cli/operator.py
@@ -203,8 +203,7 @@
     Parameters
     ----------
     decision
-        Decision id, or the complete Halldoor-Decision-Record header; with logs, the attempt id
-        that the caller sent.
+        Decision id or Halldoor-Decision-Record header; with logs, the caller's attempt id.
     log
         File with gateways' log lines, or ``-`` for standard input.
     fleet
--- a/halldoor/tests/test_replay_command.py
+++ b/halldoor/tests/test_replay_command.py
@@ -30,12 +30,14 @@
 
 
 def write(folder, name, data):
+    """Write data to a YAML file and return its path."""
     path = folder / name
     path.write_text(yaml.safe_dump(data))
     return path
 
 
 def run(*arguments):
+    """Run ``halldoor replay`` in a process of its own."""
     command = [sys.executable, "-m", "halldoor.cli.operator", "replay", *map(str, arguments)]
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -98,6 +98,7 @@
 
 
 def make_id(number):
+    """Build an operation id whose time, in its first 48 bits, is a number of milliseconds."""
     value = f"{number:012x}"
     return f"{value[:8]}-{value[8:]}-7000-8000-000000000000"
 
--- a/properties/test_store.py
+++ b/properties/test_store.py
@@ -66,6 +66,7 @@
 
     @initialize()
     def start(self):
+        """Commit a first configuration; each operator has a store with its own cache."""
         self.platform = FakePlatform()
         self.stores = [ConfigurationStore(self.platform, pause=lambda s: None) for _ in range(2)]
         first = Configuration.from_data(make_configuration(halls={"a1": 1}))
@@ -76,6 +77,7 @@
         self.number = 0
 
     def drain(self, store, target, leaving, change_id):
+        """Commit a drain, or the end of one, through one operator's store."""
         return self.stores[store].commit(
             lambda s: edit_drain(s.configuration, target, is_leaving=leaving),
             Change(change_id, f"op{store}", "drain"),
@@ -85,6 +87,7 @@
         who=st.integers(0, 1), where=st.sampled_from(TARGETS), leaving=st.booleans(), faults=FAULTS
     )
     def change(self, who, where, leaving, faults):
+        """Commit a change while writes fail, sending it again after each failure."""
         self.number += 1
         change_id = f"c{self.number}"
         self.platform.script = list(faults)
@@ -125,6 +128,7 @@
 
     @rule(who=st.integers(0, 1))
     def apply_against_an_old_revision(self, who):
+        """Apply with revision 1 as the base after later changes, which must be a conflict."""
         if self.revision < 2:
             return
         with pytest.raises(ConflictError, match="in force"):
@@ -134,6 +138,7 @@
 
     @invariant()
     def every_accepted_change_is_committed_exactly_once(self):
+        """Compare the configuration and the audit trail with the changes that were accepted."""
         if not hasattr(self, "platform"):
             return
         stored = ConfigurationStore(self.platform).read()
