--- a/benchmarks/access.py
+++ b/benchmarks/access.py
@@ -15,6 +15,7 @@
 FLEETS = (8, 80, 8_000)
 """Numbers of teams."""
 REQUESTS = 20_000
+"""Requests in a round."""
 ROUNDS = 5
 """Rounds, of which the fastest is reported: other load on the machine only adds time."""
 
--- a/benchmarks/blocks.py
+++ b/benchmarks/blocks.py
@@ -13,6 +13,7 @@
 SIZES = [100_000, 500_000, 1_000_000, 2_500_000]
 """Numbers of client blocks."""
 LOOKUPS = 200_000
+"""Look-ups that are timed for each size."""
 
 
 def main() -> None:
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -40,9 +40,11 @@
     route = make_route()
 
     def change() -> None:
+        """Discard the cached orders before a round."""
         _flip(catalog)
 
     def choose_all() -> None:
+        """Choose a target once for each key."""
         for i in range(KEYS):
             chooser.choose(route, "deck", f"k{i}", 1.0)
 
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -46,6 +46,7 @@
     ends = time.monotonic() + seconds
 
     def run(number: int) -> None:
+        """Call repeatedly in one thread."""
         own = []
         while time.monotonic() < ends:
             own.append(call(number))
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -42,6 +42,7 @@
     rotate: bool = True
 
 
+# Sizes that vary one dimension each.
 IN_ONE_HALL = [Size(1, n) for n in (2, 8, 28)]
 SPREAD = [Size(2, 2), Size(4, 4), Size(8, 4), Size(16, 4)]
 BY_TARGETS = [Size(1, 2, n) for n in (1, 20)]
@@ -186,6 +187,7 @@
     times: list[float] = []
 
     def wait(names: list[str]) -> None:
+        """Wait until the revision is in force at some entries, one after the other."""
         for name in names:
             status = fleet.get_json(name, "/v1/status")
             while status["revision"] < wanted:
--- a/benchmarks/inforce.py
+++ b/benchmarks/inforce.py
@@ -54,6 +54,7 @@
     rows: list[list[object]] = []
 
     async def measure_all() -> None:
+        """Measure every fleet."""
         for entries, halls in FLEETS:
             rows.append(await measure(entries, halls))
 
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -48,6 +48,7 @@
     pools = [urllib3.HTTPConnectionPool(IP, port, maxsize=1) for _ in range(callers)]
 
     def call(number: int) -> float:
+        """Send one request on a caller's connection, and return its time in seconds."""
         started = time.perf_counter()
         response = pools[number].request("GET", path, retries=False)
         if response.status != 200:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -55,6 +55,7 @@
     before = _count_writes(fleet)
 
     def call(number: int) -> float:
+        """Send one read or order of a caller, and return its time in seconds."""
         entry = f"a1-e{number % 2 + 1}"
         started = time.perf_counter()
         if kind == "read":
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -40,6 +40,7 @@
     Scenario("cold target", {"cold": True}),
     Scenario("shed storm", {"shed_share": 0.6}),
 ]
+"""Faults of the first target; it refuses 0.6 of its requests in the last one."""
 
 
 def main() -> None:
@@ -85,6 +86,7 @@
         sampler.start()
 
         def call(number: int) -> float:
+            """Send one request of a caller, count its status, and return its time in seconds."""
             started = time.perf_counter()
             response = fleet.call(f"a1-e{number % 2 + 1}", "/s/decks/read/x")
             outcomes[response.status] += 1
@@ -145,6 +147,7 @@
     is_over = threading.Event()
 
     def keep_calling(number: int) -> None:
+        """Send requests of one caller until the measurement ends."""
         while not is_over.is_set():
             call(number)
 
--- a/benchmarks/reaction.py
+++ b/benchmarks/reaction.py
@@ -12,6 +12,7 @@
 from halldoor.standins.sample import make_configuration
 
 ROUNDS = 4
+"""Repetitions of each measurement."""
 ENTRIES = ["a1-e1", "a1-e2"]
 
 
@@ -62,6 +63,7 @@
         is_over = threading.Event()
 
         def call(entry: str, is_over: threading.Event = is_over) -> None:
+            """Send requests through one entry until the round ends."""
             while not is_over.is_set():
                 fleet.call(entry, "/s/decks/read/x?work_s=0.01")
 
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -31,6 +31,7 @@
     """Return a function that overrides settings of an entry's choice of targets."""
 
     def adapt(entry: ModelEntry) -> None:
+        """Override the settings of one entry."""
         entry.chooser.settings = entry.chooser.settings._replace(**settings)
 
     return adapt
@@ -45,6 +46,7 @@
     """Return the row of one policy, with means over the seeds."""
 
     def average(read: Callable[[Tally], float]) -> float:
+        """Return the mean of a figure over the seeds."""
         return sum(map(read, tallies)) / len(tallies)
 
     return [
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -81,6 +81,7 @@
     rows: list[list[object]] = []
 
     async def measure_all() -> None:
+        """Measure every fleet, and print the processor time that it took."""
         for entries, halls in FLEETS:
             began = time.process_time()
             rows.extend(await measure(entries, halls))
--- a/benchmarks/slots.py
+++ b/benchmarks/slots.py
@@ -1,4 +1,4 @@
-"""Usable share of the targets' slots: with all entries up, cut from each other, and one dead."""
+"""Usable share of the targets' slots: with all entries up, cut from each other, and one killed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 
 SECONDS = 5.0
 CALLERS = 24
+"""Callers, more than the targets have slots."""
 WORK_S = 0.2
+"""Time that a request takes at its target, in seconds."""
 PAUSE_S = 0.1
 """Pause of a caller after a refusal, in seconds: a tenth of the Retry-After that it receives."""
 
@@ -64,6 +66,7 @@
         served = [0] * CALLERS
 
         def call(number: int) -> float:
+            """Send one request of a caller, and return its time in seconds."""
             started = time.perf_counter()
             path = f"/s/decks/read/x?work_s={WORK_S}"
             response = fleet.call(entries[number % len(entries)], path)
--- a/benchmarks/withdrawals.py
+++ b/benchmarks/withdrawals.py
@@ -57,6 +57,7 @@
     times = {way: Times([], []) for way in Way}
 
     async def measure_all() -> None:
+        """Start a fleet, and withdraw one target after the other."""
         fleet = open_fleet(deployment, seed=1)
         await start(fleet)
         for number, (seed, way) in enumerate(itertools.product(range(SEEDS), Way)):
--- a/halldoor/admin/api.py
+++ b/halldoor/admin/api.py
@@ -37,6 +37,7 @@
     (SettingsError, 422),
     (PlatformError, 503),
 ]
+"""HTTP status by class of error; the first class that matches counts."""
 
 
 class ApplyBody(msgspec.Struct, forbid_unknown_fields=True):
--- a/halldoor/admin/service.py
+++ b/halldoor/admin/service.py
@@ -108,11 +108,12 @@
     ) -> Outcome:
         """Commit an edit if the team has permission; record a refused edit.
 
-        The permission for the path ``touched`` is checked even if the edit changes nothing, so that
-        a team can't probe for the state of another team's objects.
+        The permission for ``checked_path`` is checked even if the edit changes nothing, so that a
+        team can't probe for the state of another team's objects.
         """
 
         def checked(stored: Stored) -> Configuration:
+            """Apply the edit, and raise if the team has no permission for its differences."""
             # Before the first configuration only `apply` gets here: the other edits raise.
             after = edit(stored.configuration or _make_empty())
             differences = _list_differences(stored, after)
--- a/halldoor/cli/operator.py
+++ b/halldoor/cli/operator.py
@@ -180,6 +180,7 @@
         _fail(BAD_INPUT, f"--over {over:g}: pass 0 to {LONGEST_LOOK_S:g} seconds.")
 
     def look() -> list[GatewayView]:
+        """Fetch the states of all gateways, showing the progress."""
         return fetch_fleet(addresses, lambda count: show_progress(count, len(addresses)))
 
     gateways = look()
--- a/halldoor/cli/replay.py
+++ b/halldoor/cli/replay.py
@@ -19,6 +19,7 @@
 SECTION = "choice"
 """Only section of a policy file that affects a replay."""
 _NOWHERE = Address("127.0.0.1", 1)
+"""Address for required settings that a replay doesn't use."""
 _USUAL = GatewaySettings(
     name="replay",
     hall="",
@@ -97,6 +98,7 @@
     """Simulate a pattern under one policy."""
 
     def use(entry: ModelEntry) -> None:
+        """Set the policy at one entry of the simulation."""
         entry.chooser.settings = choice
 
     return Replay(pattern, seed=seed, adapt=use).run()
--- a/halldoor/keyvalue/store.py
+++ b/halldoor/keyvalue/store.py
@@ -33,12 +33,14 @@
 from halldoor.keyvalue.base import Platform, UncertainWriteError, WriteConflictError
 
 REFUSED_KEY = "audit/refused"
+"""Key of the list of refused changes."""
 REFUSED_KEPT = 500
 """Records of refused changes that are kept."""
 FORMER_ROSTERS = 8
 """Former rosters that are kept for each hall."""
 READ_BACK_TRIES = 20
 READ_BACK_PAUSE_S = 0.25
+"""Pause between two attempts to read back a write without an answer, in seconds."""
 
 
 class Stored(NamedTuple):
--- a/halldoor/tests/test_fleet.py
+++ b/halldoor/tests/test_fleet.py
@@ -29,6 +29,7 @@
 class TestFleet:
     def test_running_gateways_metrics_are_fetched_and_parsed(self):
         async def check():
+            """Run a gateway with one draining and one cold target, and fetch its metrics."""
             (port,) = find_ports(1)
             async with GatewayKit.open(metrics=Address(IP, port)) as kit:
                 kit.write_target("t0", is_draining=True)
@@ -93,6 +94,7 @@
 
     def test_requests_between_two_fetches_are_counted_by_region(self):
         def view(name, *requests, error=""):
+            """Build the state of a gateway with counts of requests by region."""
             return GatewayView(name, region_requests=requests, error=error)
 
         earlier = [
--- a/halldoor/wire/protocol.py
+++ b/halldoor/wire/protocol.py
@@ -20,6 +20,7 @@
     str(Path(__file__).with_name("entry.thrift")), module_name="halldoor_entry_thrift"
 )
 Service: Any = idl.Entry
+"""The thrift service that entries call; see `halldoor.wire.server.ConnectionHandler`."""
 
 FRAME_LIMIT = 2_000_000
 """Longest frame that is accepted, in bytes; each part of the configuration fits into one."""
@@ -27,6 +28,7 @@
 """Approximate size of one chunk of a request or response body, in bytes."""
 
 _LENGTH = struct.Struct("!I")
+"""Length of a frame in bytes, as sent before it."""
 
 
 class Traffic:
--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -24,6 +24,7 @@
 from halldoor.wire.protocol import answer_call, decode_reply, encode_call, idl
 
 KEY = b"key" * 6
+# Values of types that most fields of the configuration don't have.
 WRONG = st.one_of(
     st.none(), st.integers(), st.text(max_size=5), st.lists(st.integers(), max_size=2)
 )
--- a/properties/test_store.py
+++ b/properties/test_store.py
@@ -57,6 +57,7 @@
         return []
 
 
+# "lost before": the write is lost on its way; "lost after": it takes effect, its answer is lost.
 FAULTS = st.lists(st.sampled_from(["fine", "fine", "lost before", "lost after"]), max_size=6)
 TARGETS = ["a1-t1", "a1-t2"]
 
@@ -109,6 +110,7 @@
         mine, other = f"c{self.number}", f"o{self.number}"
 
         def interfere(key):
+            """Commit the other operator's change before the first write of the head."""
             if key == "config/head":
                 self.platform.before_write = lambda key: None
                 self.drain(1 - who, TARGETS[1], True, other)
