--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,4 +1,4 @@
-"""Calls to the store, and time to be in step, where all entries read everything at once."""
+"""Calls to the store, and time until all entries are up to date, when all read everything."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from halldoor.standins.virtualtime import run
 
 FLEETS = ((12, 6), (75, 6), (300, 6), (830, 30))
-"""Entries and halls."""
+"""Pairs of numbers of entries and halls."""
 TARGETS_AN_ENTRY = 6
 WINDOW_S = 3.0
 """Time over which calls are counted, in seconds."""
@@ -27,13 +27,14 @@
 
 
 async def measure(entries: int, halls: int) -> list[list[object]]:
-    """Measure a fleet: all start, one after the other starts, the store is restored."""
+    """Return the rows for a fleet: first start, no event, restored store, and restart of all."""
     fleet = StoreFleet(entries=entries, halls=halls, targets=TARGETS_AN_ENTRY * entries)
     fleet.configure(1)
     rows = []
     now = asyncio.get_running_loop().time
 
     async def count(what: str, version: int, began: float, bytes_before: int) -> None:
+        """Wait until all are up to date, and add the row with the calls within `WINDOW_S`."""
         took_s = await fleet.wait(version) + now() - began if what else 0.0
         took_s = now() - began
         await asyncio.sleep(max(0.0, began + WINDOW_S - now()))
@@ -76,10 +77,11 @@
 
 
 def main() -> None:
-    """Measure, and write the table."""
+    """Run all measurements and write the table."""
     rows: list[list[object]] = []
 
     async def measure_all() -> None:
+        """Measure every fleet, and print the processor time that it took."""
         for entries, halls in FLEETS:
             began = time.process_time()
             rows.extend(await measure(entries, halls))
