--- a/halldoor/standins/__init__.py
+++ b/halldoor/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and for targets: for the demo, tests and benchmarks only."""
+"""Stand-ins for the platform, the store and targets, for the demo, tests and benchmarks only."""
--- a/halldoor/standins/crashfleet.py
+++ b/halldoor/standins/crashfleet.py
@@ -1,8 +1,8 @@
-"""Ways to know, over a fleet of entries, that targets end under a request; in virtual time.
+"""Simulation of a fleet of entries whose targets crash while running a request.
 
-A model for tests and measurements: callers that come at random, targets that end and come back,
-messages with delays, losses and cuts between halls, a store that may be away, and the product's own
-quarantine as one of the ways.
+Compares strategies for counting these crashes over all entries, in virtual time, for tests and
+measurements.  Requests arrive at random, targets crash and restart, messages are delayed, lost or
+cut between halls, and the store may be down.  The product's quarantine is one of the strategies.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 BAD = "bad"
 POPULAR = "popular"
 WORK_S = 0.075
-"""Time for which a request runs before it is answered, or ends its target, in seconds."""
+"""Time for which a request runs before it is answered or crashes its target, in seconds."""
 AWAY_S = (1.5, 3.0)
-"""Shortest and longest time until a target that ended is back under a new name, in seconds."""
+"""Shortest and longest time until a crashed target is replaced under a new name, in seconds."""
 CONTACT_S = 3.0
-"""Time in which all entries must know that a third target ended, in seconds."""
+"""Time within which all entries must know of the third crash, in seconds."""
 ATTEMPTS = 2
-"""Targets that one request may be sent to."""
+"""Most targets that one request is sent to."""
 ADDRESS = Address("127.0.0.1", 1)
 
 
 class Fleet(NamedTuple):
-    """Sizes of a fleet, and what callers ask of it.
+    """Sizes of a fleet, and the rates of its requests and crashes.
 
     Attributes
     ----------
     bad_per_s, popular_per_s : float
-        Requests a second of the one that ends its targets, and of a sound one.
+        Arrivals a second of the request that crashes its targets, and of a harmless one.
     ends_per_s : float
-        Targets a second that end for reasons of their own while they run the sound one.
+        Crashes a second of targets that run the harmless request but crash for other reasons.
     rack_s : float
-        When `rack` requests, all different, lose their targets at once.
+        Time at which `rack` different requests lose their targets at once, in seconds.
     """
 
     entries: int = 10
@@ -55,16 +55,17 @@
 
 
 class Trouble(NamedTuple):
-    """What goes wrong on a run.
+    """Faults of the messages, the store and the entries in a run.
 
     Attributes
     ----------
     loss : float
-        Part of the messages that are lost.
+        Share of the messages that are lost.
     cut_s, away_s : tuple of float
-        Between which times halls hear nothing of each other, and the store is away.
+        Start and end of the time in which messages between halls are lost, and of the store's
+        outage, in seconds.
     restart_s : float
-        When all entries start again and know nothing but what the store holds.
+        Time at which all entries restart with nothing but the store's content, in seconds.
     """
 
     loss: float = 0.0
@@ -75,16 +76,16 @@
 
 
 class Run:
-    """One run.
+    """One simulation run of a counting strategy.
 
     Attributes
     ----------
     sent, ended : list of float
-        When the bad request was sent to a target, and when targets ended under it.
+        Times at which the crashing request was sent to a target, and at which it crashed one.
     served, refused, lost : int
-        What became of the sound request.
+        Number of harmless requests that were answered, refused by an entry, and failed.
     messages, store_calls : int
-        What it took.
+        Number of messages between entries and of calls to the store.
     """
 
     def __init__(self, fleet: Fleet, trouble: Trouble, *, seed: int) -> None:
@@ -106,11 +107,11 @@
         self._way: CountingWay
 
     def at(self, when: float, action: Callable[..., None], *args: Any) -> None:
-        """Do something at a time; the action gets that time first."""
+        """Schedule an action at a time; the time is passed as its first argument."""
         heapq.heappush(self._events, (when, next(self._numbers), action, args))
 
     def play(self, way: CountingWay, *, until_s: float = 12.0) -> Run:
-        """Play callers until a time."""
+        """Run the simulation with a strategy until a time in seconds."""
         self._way = way
         way.start(self)
         fleet = self.fleet
@@ -130,23 +131,21 @@
         return self
 
     def _repeat(self, now: float, per_s: float, action: Callable[[float], None]) -> None:
-        """Do something at random times."""
+        """Schedule an action at random times with a mean rate a second; 0 means never."""
         if per_s:
             self.at(now + self.random.expovariate(per_s), self._do, per_s, action)
 
     def _do(self, now: float, per_s: float, action: Callable[[float], None]) -> None:
-        """Do it once, and again later."""
+        """Run an action, and schedule its next run."""
         action(now)
         self._repeat(now, per_s, action)
 
-    # Callers and targets
-
     def _ask(self, digest: str, now: float) -> None:
-        """Ask any entry for a request."""
+        """Send a request to a randomly chosen entry."""
         self._send(now, self.random.randrange(self.fleet.entries), digest, ATTEMPTS)
 
     def _send(self, now: float, entry: int, digest: str, attempts: int) -> None:
-        """Send a request to a target, unless the entry knows better."""
+        """Send a request to a random target, unless the entry blocks it or no target runs."""
         if self._way.is_blocked(now, entry, digest):
             self.refused += digest == POPULAR
             return
@@ -163,7 +162,7 @@
     def _finish(
         self, now: float, entry: int, digest: str, target: str, lose: Callable[[float], None]
     ) -> None:
-        """End the run of a request, or its target with it."""
+        """Finish a request, or crash its target if it is the crashing one."""
         if lose not in self._running.get(target, ()):
             return
         if digest == BAD:
@@ -175,7 +174,7 @@
         self._way.note_answer(now, entry, digest)
 
     def _end(self, now: float, target: str) -> None:
-        """End a target with all that it runs."""
+        """Crash a target: all its requests fail, and a replacement is scheduled."""
         self._targets.discard(target)
         for lose in self._running.pop(target, []):
             lose(now)
@@ -186,23 +185,21 @@
         self._targets.add(f"t{next(self._names)}")
 
     def _end_one(self, now: float) -> None:
-        """End a target that runs the sound request, if any does."""
+        """Crash a random target among those that run a request, if there is one."""
         running = sorted(t for t, runs in self._running.items() if runs)
         if running:
             self._end(now, self.random.choice(running))
 
     def _lose(self, now: float, entry: int, digest: str, target: str, attempts: int = 1) -> None:
-        """Let an entry see that a target ended under a request; it may try another."""
+        """Record at an entry that a request crashed its target; retry if attempts are left."""
         self._way.note_end(now, entry, digest, target)
         if attempts > 1:
             self._send(now, entry, digest, attempts - 1)
         else:
             self.lost += digest == POPULAR
 
-    # Between entries, and the store
-
     def tell(self, now: float, source: int, to: int, action: Callable[..., None], *a: Any) -> None:
-        """Carry a message from one entry to another; it may be lost."""
+        """Send a message from one entry to another, unless it is lost or cut."""
         self.messages += 1
         trouble = self.trouble
         is_far = self.members[source].hall != self.members[to].hall
@@ -211,13 +208,14 @@
             self.at(now + self.random.uniform(0.0, 2 * trouble.delay_s), action, to, *a)
 
     def is_store_away(self, now: float) -> bool:
-        """Check whether the store is away at a time."""
+        """Check whether the store is down at a time."""
         return self.trouble.away_s[0] <= now < self.trouble.away_s[1]
 
-    # What came of it
-
     def count_late(self) -> int:
-        """Count sendings by entries in touch later than `CONTACT_S` after the third end."""
+        """Count requests sent later than `CONTACT_S` after the third crash.
+
+        Requests shortly after a restart or during a store outage are left out.
+        """
         if len(self.ended) < 3:
             return 0
         since = self.ended[2] + CONTACT_S
@@ -231,26 +229,26 @@
 
 
 class CountingWay(ABC):
-    """A way to know the sum of the ends."""
+    """A strategy for counting a request's crashes over all entries."""
 
     run: Run
 
     def start(self, run: Run) -> None:
-        """Begin a run."""
+        """Initialize the strategy's state for a run."""
         self.run = run
 
     def restart(self, now: float) -> None:
-        """Start every entry again."""
+        """Restart every entry, which loses its state."""
         self.start(self.run)
 
     def note_answer(self, now: float, entry: int, digest: str) -> None:
-        """Let an entry have an answer."""
+        """Record that an entry received an answer to a request."""
         return
 
     @abstractmethod
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
-        """Let an entry see an end."""
+        """Record that an entry saw a target crash under a request."""
 
     @abstractmethod
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
-        """Check whether an entry does not send a request."""
+        """Check whether an entry blocks a request instead of sending it."""
--- a/halldoor/standins/crashways.py
+++ b/halldoor/standins/crashways.py
@@ -1,4 +1,4 @@
-"""Ways to know, over all entries of a model fleet, that targets end under a request."""
+"""Strategies for counting a request's target crashes over all entries of a simulated fleet."""
 
 from __future__ import annotations
 
@@ -15,52 +15,52 @@
 SETTINGS = QuarantineSettings()
 CALLER = "c"
 WATCH_S = (0.05, 1.2)
-"""Shortest and longest time until an entry hears of a change in the store, in seconds."""
+"""Shortest and longest time until an entry receives a change of the store, in seconds."""
 STORE_S = 0.02
-"""Time of a call to the store, in seconds."""
+"""Duration of a call to the store, in seconds."""
 
 
 class NoSum(CountingWay):
-    """Each sending is judged by itself."""
+    """Entries count no crashes and block no requests."""
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
-        """Forget it."""
+        """Ignore the crash."""
         return
 
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
-        """Send whatever comes."""
+        """Block nothing."""
         return False
 
 
 class OwnSum(CountingWay):
-    """Each entry counts what it sees itself."""
+    """Each entry counts only the crashes that it saw itself."""
 
     def start(self, run: Run) -> None:
-        """Begin with nothing known."""
+        """Start without any counted crash."""
         super().start(run)
         self.cases: list[dict[str, CrashHistory]] = [{} for _ in range(run.fleet.entries)]
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
-        """Count it."""
+        """Count the crash at this entry."""
         self.cases[entry].setdefault(digest, CrashHistory(digest)).add_crash(target, CALLER, now)
 
     def note_answer(self, now: float, entry: int, digest: str) -> None:
-        """Clear the request of the ends before."""
+        """Clear the earlier crashes of the request, since a target answered it."""
         case = self.cases[entry].get(digest)
         if case is not None:
             case.record_answer(now)
 
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
-        """Go by what is counted here."""
+        """Check whether the crashes counted at this entry block the request."""
         case = self.cases[entry].get(digest)
         return case is not None and case.is_blocked(SETTINGS)
 
 
 class TellAll(OwnSum):
-    """Each entry tells all others of each end; nothing is kept."""
+    """Each entry sends every crash to all others; nothing is stored."""
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
-        """Count it, and tell the others."""
+        """Count the crash, and send the evidence to all other entries."""
         super().note_end(now, entry, digest, target)
         evidence = self.cases[entry][digest].build_evidence(now)
         for other in range(self.run.fleet.entries):
@@ -68,21 +68,21 @@
                 self.run.tell(now, entry, other, self._hear, evidence)
 
     def _hear(self, now: float, entry: int, evidence: Evidence) -> None:
-        """Merge what another entry knows."""
+        """Merge evidence from another entry."""
         case = self.cases[entry].setdefault(evidence.digest, CrashHistory(evidence.digest))
         case.merge(evidence, now)
 
 
 class StoreSum(OwnSum):
-    """Each end is added to a record in the store, which all entries watch."""
+    """Each crash is added to a record in the store, which all entries watch."""
 
     def start(self, run: Run) -> None:
-        """Begin with an empty store."""
+        """Start with an empty store."""
         super().start(run)
         self.records: dict[str, CrashHistory] = {}
 
     def restart(self, now: float) -> None:
-        """Start every entry again; the store holds on."""
+        """Restart every entry; each loads the records from the store."""
         records = self.records
         self.start(self.run)
         self.records = records
@@ -92,12 +92,12 @@
                 cases[digest].merge(case.build_evidence(now), now)
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
-        """Count it, and add it to the record: one call to read and one to write."""
+        """Count the crash, and add it to the record in the store."""
         super().note_end(now, entry, digest, target)
         self._write(now, digest, target)
 
     def _write(self, now: float, digest: str, target: str) -> None:
-        """Add an end to the record; once more while the store is away."""
+        """Add a crash to the record with one read and one write; retry while the store is down."""
         self.run.store_calls += 2
         if self.run.is_store_away(now):
             self.run.at(now + 0.5, self._write, digest, target)
@@ -110,17 +110,17 @@
                 self.run.at(heard_at, self._hear, other, evidence)
 
     def _hear(self, now: float, entry: int, evidence: Evidence) -> None:
-        """Merge the record."""
+        """Merge a record read from the store."""
         self.cases[entry].setdefault(evidence.digest, CrashHistory(evidence.digest)).merge(
             evidence, now
         )
 
 
 class Collectors(CountingWay):
-    """The product's way without the store: a few count for all, and tell all."""
+    """The product's quarantine without the store: collectors count and notify all entries."""
 
     def start(self, run: Run) -> None:
-        """Begin with nothing known."""
+        """Start without any counted crash."""
         super().start(run)
         self._by_name = {m.name: i for i, m in enumerate(run.members)}
         self._collectors: dict[tuple[str, str], list[str]] = {}
@@ -130,29 +130,29 @@
         ]
 
     def _find_collectors(self, hall: str, digest: str) -> list[str]:
-        """Find the collectors of a request, as the product does."""
+        """Return the collectors of a request for entries of a hall, chosen as in the product."""
         if (hall, digest) not in self._collectors:
             self._collectors[hall, digest] = choose_collectors(digest, hall, self.run.members)
         return self._collectors[hall, digest]
 
     def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
-        """Let the entry's part see it."""
+        """Record the crash in the entry's quarantine."""
         self._parts[entry].record_crash(Identity(digest, CALLER), target, now)
         self._poll(now, entry, self._parts[entry])
 
     def note_answer(self, now: float, entry: int, digest: str) -> None:
-        """Let the entry's part see it."""
+        """Record the answer in the entry's quarantine."""
         self._parts[entry].record_answer(digest, now)
         self._poll(now, entry, self._parts[entry])
 
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
-        """Ask the entry's part."""
+        """Check whether the entry's quarantine blocks the request."""
         return self._parts[entry].find_block(Identity(digest, CALLER), now) is not None
 
     def _poll(self, now: float, entry: int, part: Quarantine) -> None:
-        """Send and record what is due, and come back when more is."""
+        """Send due messages, write due records, and schedule the next poll."""
         if part is not self._parts[entry]:
-            return  # It started again meanwhile.
+            return  # The entry has restarted since this poll was scheduled.
         for message in part.pop_messages(now):
             is_for_all = isinstance(message.to, Audience)
             for other in self._list_recipients(entry, message):
@@ -174,25 +174,25 @@
         return [i for i in others if members[i].hall == members[entry].hall]
 
     def _hear(self, now: float, entry: int, evidence: Evidence, is_for_all: bool) -> None:
-        """Let the entry's part take a message."""
+        """Merge the evidence of a message into the entry's quarantine."""
         self._parts[entry].merge_evidence(evidence, now, is_broadcast=is_for_all)
         self._poll(now, entry, self._parts[entry])
 
     def _record(self, now: float, part: Quarantine, evidence: Evidence) -> None:
-        """Keep nothing."""
+        """Confirm the record without writing it, since there is no store."""
         part.confirm_record(evidence)
 
 
 class CollectorsAndRecord(Collectors):
-    """The product's way: what collectors know is recorded in the store, too."""
+    """The product's quarantine: collectors also write the evidence to the store."""
 
     def start(self, run: Run) -> None:
-        """Begin with an empty store."""
+        """Start with an empty store."""
         super().start(run)
         self._records: dict[str, EvidenceRecord] = {}
 
     def restart(self, now: float) -> None:
-        """Start every entry again; each reads the store."""
+        """Restart every entry; each reads the records from the store."""
         records = self._records
         self.start(self.run)
         self._records = records
@@ -201,7 +201,7 @@
                 self._watch(now, entry, record)
 
     def _record(self, now: float, part: Quarantine, evidence: Evidence) -> None:
-        """Write a record: a call for the lease, and one for the record."""
+        """Write a record, at the cost of one call for the lease and one for the record."""
         self.run.store_calls += 2
         if self.run.is_store_away(now):
             part.retry_record(evidence.digest, now + 0.5)
@@ -214,6 +214,6 @@
             self.run.at(heard_at, self._watch, entry, record)
 
     def _watch(self, now: float, entry: int, record: EvidenceRecord) -> None:
-        """Let the entry's part take a record."""
+        """Merge a record from the store into the entry's quarantine."""
         self._parts[entry].merge_record(from_record(record, round(now * 1000)), now)
         self._poll(now, entry, self._parts[entry])
--- a/halldoor/standins/demo.py
+++ b/halldoor/standins/demo.py
@@ -1,4 +1,4 @@
-"""The main job on embedded stand-ins: two halls, three kinds of request, a drain, a stop."""
+"""Demo on stand-ins: two halls, three kinds of request, a drain and a graceful stop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Run the demo; every step is checked, and a failed check ends it."""
+    """Run the demo; every step is checked, and a failed check aborts it."""
     with Fleet.open() as fleet:
         _start(fleet)
         _serve_requests(fleet)
@@ -28,7 +28,7 @@
 
 
 def _start(fleet: Fleet) -> None:
-    """Start two halls and put a configuration in force by the command line."""
+    """Start two halls, and apply a configuration with the command line."""
     fleet.start_platform()
     fleet.start_admin()
     configuration = make_configuration(halls={"a1": 2, "b1": 2})
@@ -44,17 +44,17 @@
 
 
 def _check(done: Any) -> str:
-    """Return the output of a command that must have worked."""
+    """Return a command's output; exit with its error if it failed."""
     if done.returncode:
         raise SystemExit(f"Command failed with {done.returncode}: {done.stderr}")
     return str(done.stdout).strip()
 
 
 def _serve_requests(fleet: Fleet) -> None:
-    """Serve a read, an order and an upload across halls, and explain each."""
+    """Send a read, an order and an upload across halls, check them, and explain each."""
     found = fleet.get_json("a1-e1", "/v1/lookup?service=decks")
     print(f"Look-up: {', '.join(e['name'] for e in found['entries'])}.")
-    # With its own targets leaving, hall a1 has to go through hall b1.
+    # With its own targets leaving, hall a1 must use the targets of hall b1.
     for target in ("a1-t1", "a1-t2"):
         fleet.control(target, leaving=True)
     wait_until(
@@ -64,7 +64,7 @@
         what="targets of a1 seen leaving",
     )
     read = fleet.call("a1-e1", "/s/decks/read/deck-5?size=200000&seed=deck-5")
-    assert read.data == make_bytes("deck-5", 200_000), "the read came back wrong"
+    assert read.data == make_bytes("deck-5", 200_000), "the read returned a wrong body"
     ticket = fleet.get_ticket("a1-e1")
     order = fleet.call(
         "a1-e1",
@@ -76,10 +76,10 @@
     again = fleet.call(
         "a1-e2", "/s/decks/order", method="POST", body=b"x", headers={"Halldoor-Ticket": ticket}
     )
-    assert order.data == again.data, "a repeat must give the first answer"
+    assert order.data == again.data, "a repeated order must return the first answer"
     body = bytes(range(256)) * 40_000
     upload = fleet.call("a1-e1", "/s/decks/upload", method="PUT", body=body)
-    assert json.loads(upload.data)["sha256"] == sha256(body).hexdigest(), "the upload came wrong"
+    assert json.loads(upload.data)["sha256"] == sha256(body).hexdigest(), "a wrong body arrived"
     runs = sum(
         count
         for t in fleet.configuration["targets"]
@@ -96,7 +96,7 @@
 
 
 def _drain_under_load(fleet: Fleet) -> None:
-    """Drain a target while callers are at work; no request may be lost."""
+    """Drain a target while callers send requests; check that no request fails."""
     outcomes: Counter[str] = Counter()
     ends = time.monotonic() + LOAD_S
 
@@ -119,12 +119,12 @@
         thread.join()
     after = fleet.get_json("b1-t1", "/stats")["outcomes"].get("answered", 0)
     assert set(outcomes) == {"200"}, f"requests were lost in the drain: {dict(outcomes)}"
-    assert before == after, "the drained target still got new work"
+    assert before == after, "the drained target still received new requests"
     print(f"Drained b1-t1 under load: {outcomes['200']} requests, none lost.")
 
 
 def _print_status(fleet: Fleet) -> None:
-    """Show the status, and stop an entry in the planned way."""
+    """Print the status, and stop an entry gracefully."""
     print(_check(fleet.run_cli("status")))
     took_s = fleet.stop("a1-e2")
     print(f"Stopped entry a1-e2 in the planned way in {took_s:.1f} s.")
--- a/halldoor/standins/fleet.py
+++ b/halldoor/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Start and stop a whole installation as separate processes, for demo, tests and benchmarks."""
+"""Run a whole installation as separate processes, for the demo, tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 from halldoor.standins.sample import IP, find_ports
 
 PLATFORM = "127.0.0.1"
-"""Address by which cuts know the platform."""
+"""Address that stands for the platform in cuts."""
 LOG_SHOWN = 2_000
-"""Characters of a process's log that an error shows."""
+"""Number of characters from the end of a process's log that an error shows."""
 DECISION_KEY = "fleet-decision-key-0123"
 TOKEN = "fleet-operator-token"
 
 
 def wait_until(holds: Callable[[], bool], *, what: str, limit_s: float = 20.0) -> float:
-    """Wait until something holds, and give the seconds it took.
+    """Wait until a condition holds, and return the seconds it took.
 
     Raises
     ------
     TimeoutError
-        Names what did not come about.
+        The condition did not hold in time; the message names it by ``what``.
     """
     started = time.monotonic()
     while time.monotonic() - started < limit_s:
@@ -55,7 +55,7 @@
     Parameters
     ----------
     folder : Path
-        Where settings and logs go.
+        Folder for settings and logs.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -67,7 +67,7 @@
         self.admin_port = 0
         self.settings: dict[str, Path] = {}
         self.relays: Relays | None = None
-        # Pairs of address prefixes that can't reach each other, such as 127.0.1. and 127.0.2.
+        # Pairs of address prefixes cut off from each other, such as 127.0.1. and 127.0.2.
         self.cuts: set[tuple[str, str]] = set()
         self._hidden: dict[str, dict[str, Any]] = {}
         self.configuration: dict[str, Any] = {}
@@ -75,7 +75,7 @@
     @classmethod
     @contextlib.contextmanager
     def open(cls) -> Iterator[Fleet]:
-        """Open a fleet in a folder of its own, and stop all of it at the end."""
+        """Create a fleet in a temporary folder, and stop all its processes at the end."""
         with tempfile.TemporaryDirectory(prefix="halldoor-") as folder:
             fleet = cls(Path(folder))
             try:
@@ -83,10 +83,8 @@
             finally:
                 fleet.stop_all()
 
-    # Processes
-
     def spawn(self, name: str, module: str, *arguments: str) -> None:
-        """Start a program; its log goes to a file named after it."""
+        """Start a program of `halldoor.cli`; its output goes to ``NAME.log``."""
         with (self.folder / f"{name}.log").open("ab") as out:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, "-m", f"halldoor.cli.{module}", *arguments],
@@ -95,26 +93,26 @@
             )
 
     def start_platform(self) -> None:
-        """Start the platform's stand-in."""
+        """Start the stand-in for the platform, and wait until it answers."""
         self.spawn("platform", "standin", "platform", "--port", str(self.platform_port), "--ip", IP)
         wait_until(self._platform_answers, what="platform")
 
     def _platform_answers(self) -> bool:
-        """Check whether the stand-in answers: its port is open before anybody serves it."""
+        """Check whether the stand-in answers; its port is open before it serves requests."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             url = f"{self.platform_url}/stats"
             return urllib3.request("GET", url, retries=False, timeout=1.0).status == 200
         return False
 
     def start_targets(self, name: str, ports: list[int], *options: str) -> None:
-        """Start targets' stand-ins, all in one process."""
+        """Start stand-ins for targets in one process, and wait until their ports are open."""
         texts = [str(p) for p in ports]
         self.spawn(name, "standin", "target", "--ip", IP, "--ports", *texts, *options)
         for port in ports:
             wait_until(lambda port=port: self.can_connect(port), what="target")  # type: ignore[misc]
 
     def start_entry(self, name: str, **changes: object) -> None:
-        """Start an entry that the configuration names."""
+        """Start an entry of the configuration, with ``changes`` to its settings."""
         hall, host = next(
             (h["name"], e)
             for h in self.configuration["halls"]
@@ -146,16 +144,16 @@
         self.restart_entry(name)
 
     def restart_entry(self, name: str) -> None:
-        """Start an entry with the settings it had."""
+        """Start an entry with its last settings."""
         self.spawn(name, "entry", str(self.settings[name]))
 
     def wait_ready(self, *names: str, revision: int = 1, limit_s: float = 20.0) -> None:
-        """Wait until entries have a revision in force.
+        """Wait until entries have applied a revision.
 
         Raises
         ------
         TimeoutError
-            Tells whether the process still runs, and the end of its log.
+            Says whether the process still runs, and shows the end of its log.
         """
         for name in names:
             try:
@@ -170,12 +168,12 @@
     def _describe_process(self, name: str) -> str:
         """Describe a process by its exit code and the end of its log."""
         code = self.processes[name].poll()
-        state = "it runs" if code is None else f"it ended with {code}"
+        state = "it runs" if code is None else f"it exited with {code}"
         log = (self.folder / f"{name}.log").read_text(errors="replace")
         return f"{state}; its log ends with:\n{log[-LOG_SHOWN:]}"
 
     def kill(self, name: str) -> None:
-        """Kill a process without warning."""
+        """Kill a process with SIGKILL, and wait for its exit."""
         self.processes[name].kill()
         self.processes[name].wait()
 
@@ -184,14 +182,14 @@
         self.processes[name].send_signal(number)
 
     def stop(self, name: str, *, limit_s: float = 30.0) -> float:
-        """Stop a process in the planned way and give the seconds it took."""
+        """Stop a process gracefully with SIGTERM, and return the seconds it took."""
         started = time.monotonic()
         self.processes[name].terminate()
         self.processes[name].wait(limit_s)
         return time.monotonic() - started
 
     def stop_all(self) -> None:
-        """End everything that was started here."""
+        """Kill all processes, and stop the relays."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -200,13 +198,11 @@
         if self.relays is not None:
             self.relays.stop()
 
-    # Cuts
-
     def use_relays(self, configuration: dict[str, Any]) -> None:
-        """Put a relay before every entry's wire port and before the platform.
+        """Place a relay in front of every entry's wire port and of the platform.
 
-        Each entry gets an address of its own, 127.0.HALL.NUMBER, by which cuts tell
-        who calls.  Call it before anything else is started.
+        Each entry gets its own source address, 127.0.HALL.NUMBER, by which cuts identify the
+        caller.  Call this before starting any process.
         """
         self.relays = Relays()
         hidden = find_ports(1 + sum(len(h["entries"]) for h in configuration["halls"]))
@@ -222,7 +218,7 @@
         self._add_relay(self.shown_platform_port, self.platform_port, PLATFORM)
 
     def _add_relay(self, port: int, to: int, name: str) -> None:
-        """Add the relay before a process that cuts know by an address."""
+        """Add a relay in front of a process; ``name`` is its address in cuts."""
         assert self.relays is not None
 
         def is_cut(source: str) -> bool:
@@ -235,7 +231,7 @@
         self.relays.add((IP, port), (IP, to), is_cut)
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two address prefixes from each other; ``127.0.0.`` is the platform's."""
+        """Cut the traffic between two address prefixes; ``127.0.0.`` is the platform's."""
         self.cuts.add((one, other))
 
     def heal(self) -> None:
@@ -243,7 +239,7 @@
         self.cuts.clear()
 
     def read_log(self, name: str) -> str:
-        """Read a process's log."""
+        """Return a process's log."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
     def start_admin(self) -> None:
@@ -278,22 +274,20 @@
         )
 
     def write_configuration(self, configuration: dict[str, Any]) -> Path:
-        """Write a configuration for the command line."""
+        """Write a configuration to a file for the command line, and return its path."""
         self.configuration = configuration
         path = self.folder / "configuration.yaml"
         path.write_text(yaml.safe_dump(configuration))
         return path
 
-    # Talking to them
-
     @property
     def platform_url(self) -> str:
-        """URL of the platform's stand-in, through its relay where there is one."""
+        """URL of the platform's stand-in, through its relay if relays are used."""
         port = self.shown_platform_port if self.relays is not None else self.platform_port
         return f"http://{IP}:{port}"
 
     def can_connect(self, port: int) -> bool:
-        """Check whether something listens on a port."""
+        """Check whether a process listens on a port."""
         with contextlib.suppress(OSError), socket.create_connection((IP, port), 0.2):
             return True
         return False
@@ -325,7 +319,7 @@
         return msgspec.json.decode(self.call(name, path).data)
 
     def get_revision(self, name: str) -> int:
-        """Return the revision in force at an entry; 0 where it does not answer."""
+        """Return the revision that an entry has applied; 0 if it does not answer."""
         try:
             return int(self.get_json(name, "/v1/status")["revision"])
         except (urllib3.exceptions.HTTPError, OSError, msgspec.DecodeError):
@@ -338,11 +332,11 @@
         return str(msgspec.json.decode(response.data).get("ticket", ""))
 
     def control(self, target: str, **behaviour: object) -> None:
-        """Change how a target's stand-in behaves."""
+        """Change the behaviour of a target's stand-in; see `Behaviour`."""
         self.call(target, "/control", method="POST", body=msgspec.json.encode(behaviour))
 
     def set_faults(self, **faults: object) -> None:
-        """Set what goes wrong at the platform."""
+        """Set the faults of the platform's stand-in; faults that are not given end."""
         self.http.request(
             "POST", f"http://{IP}:{self.platform_port}/faults", body=msgspec.json.encode(faults)
         )
--- a/halldoor/standins/leavingways.py
+++ b/halldoor/standins/leavingways.py
@@ -1,7 +1,7 @@
-"""Ways for entries to learn that a target leaves, in virtual time.
+"""Strategies by which entries find out that a target is leaving.
 
-A model for measurements, on the runs of `ratefleet`: the target says so in each answer from a
-moment on, and its record never does.
+For measurements in virtual time, on the runs of `ratefleet`: from `LEAVES_S` on the target states
+in each answer that it is leaving, and its record in the store never changes.
 """
 
 from __future__ import annotations
@@ -9,25 +9,25 @@
 from halldoor.standins.ratefleet import RateWay, Run, list_receivers
 
 LEAVES_S = 4.0
-"""When the target begins to say that it leaves, in seconds of a run."""
+"""Time from which the target states that it is leaving, in seconds from the start of a run."""
 ANSWER_S = 0.15
 """Time from a request to its answer, in seconds."""
 PERIOD_S = 0.25
 """Time between two messages of an entry, in seconds."""
 REPEATS = 3
-"""Messages in which an entry sends the same."""
+"""Number of messages in which an entry repeats a notice."""
 
 
 class OwnAnswers(RateWay):
-    """Each entry learns by an answer of its own."""
+    """Each entry relies on the answers to its own requests."""
 
     def restart(self, now: float) -> None:
-        """Begin with nothing known."""
+        """Reset the state of all entries."""
         self._has_heard = [False] * len(self.run.names)
         self._has_read = [False] * len(self.run.names)
 
     def take(self, now: float, entry: int) -> bool:
-        """Send the request unless the target is known to leave."""
+        """Send a request unless the entry knows that the target is leaving."""
         if self._has_heard[entry] or self._has_read[entry]:
             return False
         if now >= LEAVES_S:
@@ -35,39 +35,39 @@
         return True
 
     def _read(self, now: float, entry: int) -> None:
-        """Read an answer."""
+        """Receive an answer which states that the target is leaving."""
         is_news = not (self._has_heard[entry] or self._has_read[entry])
         self._has_read[entry] = True
         if is_news:
             self.notify(now, entry)
 
     def notify(self, now: float, entry: int) -> None:
-        """Notify others: here nobody."""
+        """Notify other entries; this strategy notifies none."""
 
 
 class NotifiedEntries(OwnAnswers):
-    """An entry that read it notifies others."""
+    """An entry that received such an answer notifies its receivers."""
 
     forwards = False
 
     def start(self, run: Run) -> None:
-        """Begin a run."""
+        """Initialize the strategy's state, and choose the receivers of each entry."""
         super().start(run)
         self._receivers = list_receivers(run.names)
 
     def notify(self, now: float, entry: int) -> None:
-        """Send a notice to those that this entry notifies."""
+        """Schedule the notice and its repeats to the entry's receivers."""
         first = self.run.random.uniform(0.0, PERIOD_S)
         for repeat in range(REPEATS):
             self.run.at(now + first + repeat * PERIOD_S, self._send, entry)
 
     def _send(self, now: float, entry: int) -> None:
-        """Send one message to each of them."""
+        """Send one notice to each receiver."""
         for to in self._receivers[entry]:
             self.run.send(now, entry, to, self._hear)
 
     def _hear(self, now: float, entry: int) -> None:
-        """Receive a notice."""
+        """Receive a notice, and forward it if it is new and forwarding is on."""
         is_news = not (self._has_heard[entry] or self._has_read[entry])
         self._has_heard[entry] = True
         if is_news and self.forwards:
@@ -75,6 +75,6 @@
 
 
 class ForwardedNotices(NotifiedEntries):
-    """An entry passes on what is news to it."""
+    """An entry also forwards each notice that is new to it."""
 
     forwards = True
--- a/halldoor/standins/memorystore.py
+++ b/halldoor/standins/memorystore.py
@@ -1,4 +1,4 @@
-"""An in-process stand-in of the metadata store, with the faults that stores have."""
+"""In-process stand-in for the metadata store, with the faults of real stores."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StoreCopy(NamedTuple):
-    """All that a store held at a moment."""
+    """Copy of a store's whole state, for `MemoryStore.restore`."""
 
     values: dict[str, bytes]
     history: list[tuple[int, StoredItem]]
@@ -31,27 +31,27 @@
 
 
 class MemoryStore(MetadataStore):
-    """Keys in memory.
+    """A metadata store that keeps keys, leases and the change history in memory.
 
     Parameters
     ----------
     page_items : int, optional
         Items on one page of a range.
     has_expiry : bool, optional
-        Leases that are not renewed lapse.
+        Leases that are not renewed expire.
 
     Attributes
     ----------
     is_down : bool
-        Every call fails; what waits is cut.
+        Every call fails, and waiting watches fail as well.
     calls, ranges : int
-        Calls so far, and pages of ranges among them.
+        Number of calls so far, and number of range pages that were read.
     is_slow : bool
-        Ranges are answered only once it no longer is.
+        Reads of ranges wait until this is false again.
     is_deaf : bool
-        Watches hear of no change.
+        Watches receive no changes.
     copies : int
-        How often it was restored from a copy.
+        Number of times that the store was restored from a copy.
     """
 
     def __init__(self, *, page_items: int = PAGE_SIZE, has_expiry: bool = False) -> None:
@@ -74,8 +74,6 @@
         self.calls = 0
         self.ranges = 0
 
-    # What operators, targets and faults do
-
     def put(self, key: str, value: bytes) -> None:
         """Write a key."""
         self._values[key] = value
@@ -87,22 +85,22 @@
             self._record(StoredItem(key, None))
 
     def forget_history(self) -> None:
-        """Forget which changes led here."""
+        """Drop the change history; watches from an earlier revision fail."""
         self._history.clear()
         self._first_revision = self._revision
 
     def open_gap(self) -> None:
-        """Let watches hear of no change, until the gap is closed."""
+        """Withhold changes from watches until `close_gap` is called."""
         self.is_deaf = True
 
     def close_gap(self, *, forget_after_s: float = 0.0) -> None:
-        """Cut all that watch, and forget the history that no watch has heard.
+        """Fail all watches, and drop the history with the withheld changes.
 
         Parameters
         ----------
         forget_after_s : float, optional
-            Time between the two, in seconds.  A watch that begins in it hears nothing until the
-            next change.
+            Time between the two, in seconds.  A watch that starts in between receives nothing until
+            the next change.
         """
         self._cuts += 1
         self._wake()
@@ -112,19 +110,19 @@
             self._end_gap()
 
     def _end_gap(self) -> None:
-        """Forget the history, and let watches that begin from now on hear of changes."""
+        """Drop the history, and deliver later changes to watches again."""
         self.is_deaf = False
         self.forget_history()
 
     def copy(self) -> StoreCopy:
-        """Copy all that it holds."""
+        """Return a copy of the whole state."""
         leases = {name: set(keys) for name, keys in self._leases.items()}
         return StoreCopy(
             dict(self._values), list(self._history), self._revision, leases, self._next_lease
         )
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what came since is gone, and its numbers are given out again."""
+        """Restore a copy: later changes are lost, and their revision numbers are assigned again."""
         self._values = dict(copy.values)
         self._history = list(copy.history)
         self._revision = copy.revision
@@ -135,7 +133,7 @@
         self._wake()
 
     def cut(self) -> None:
-        """Go down: calls fail, and what waits ends."""
+        """Take the store down: calls and waiting watches fail."""
         self.is_down = True
         self._wake()
 
@@ -150,20 +148,18 @@
         self._wake()
 
     def _wake(self) -> None:
-        """Wake every watch."""
+        """Wake every waiting watch so that it checks for changes and faults."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def _call(self) -> None:
-        """Count a call; fail while down."""
+        """Count a call, and fail it while the store is down."""
         self.calls += 1
         if self.is_down:
             raise StoreError("The store is down.", remedy="Start it.")
 
-    # What entries do
-
     async def read_range(self, prefix: str, *, after: str = "") -> Page:
-        """Read a page."""
+        """Return one page of the keys with a prefix."""
         self._call()
         while self.is_slow:
             await asyncio.sleep(0.01)
@@ -173,7 +169,7 @@
         return Page(items, len(keys) > self._page_items, self._revision)
 
     async def watch(self, prefix: str, *, after: int, wait_s: float) -> Events:
-        """Wait for changes."""
+        """Wait for changes after a revision, for ``wait_s`` seconds at most."""
         self._call()
         if after > self._revision:
             raise HistoryGoneError("There is no such revision.", remedy="Read all again.")
@@ -194,7 +190,7 @@
         return Events(items, self._revision)
 
     def _is_kept(self, cuts: int) -> bool:
-        """Check whether a watch goes on that began after so many cuts."""
+        """Check whether a watch that started after ``cuts`` cuts has not been cut since."""
         return not self.is_down and cuts == self._cuts
 
     async def write(self, key: str, value: bytes, *, lease: str) -> None:
@@ -208,7 +204,7 @@
         self.put(key, value)
 
     async def claim(self, key: str, *, lease: str) -> bool:
-        """Write a key unless it is there."""
+        """Write a key under a lease unless the key exists; return whether it was written."""
         if key in self._values:
             self._call()
             return False
@@ -233,7 +229,7 @@
         self._expect_renewal(lease)
 
     def _expect_renewal(self, lease: str) -> None:
-        """Let a lease lapse unless it is renewed within its time."""
+        """Schedule the expiry of a lease, in place of an earlier schedule."""
         if not self._has_expiry:
             return
         if lease in self._expiries:
@@ -247,12 +243,12 @@
         self.lapse(lease)
 
     def lapse(self, lease: str) -> None:
-        """Let a lease lapse: its keys go."""
+        """Expire a lease, and remove its keys."""
         if lease in self._expiries:
             self._expiries.pop(lease).cancel()
         for key in self._leases.pop(lease, set()):
             self.remove(key)
 
     def list_leases(self) -> list[str]:
-        """List the leases that run."""
+        """List the leases that have not expired."""
         return list(self._leases)
--- a/halldoor/standins/modelentry.py
+++ b/halldoor/standins/modelentry.py
@@ -1,4 +1,4 @@
-"""The parts of an entry that keep it in step with the store and with other entries."""
+"""Simulated entry: the product's tasks that synchronize with the store and other entries."""
 
 from __future__ import annotations
 
@@ -31,40 +31,40 @@
 
 
 LINES_KEPT = 100
-"""Log lines of an entry that are kept."""
+"""Number of an entry's latest log lines that are kept."""
 
 
 class NoLog:
-    """A log that counts what it is told, and keeps the last lines."""
+    """An event log that counts events by text and keeps the latest lines."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.lines: deque[tuple[str, str, dict[str, Any]]] = deque(maxlen=LINES_KEPT)
 
     def event(self, part: str, text: str, **fields: Any) -> None:
-        """Count an event."""
+        """Count an event, and keep its line."""
         self.counts[f"{part}: {text}"] += 1
         self.lines.append((part, text, fields))
 
 
 class _Caller:
-    """The side of a poll that takes the answer."""
+    """Stand-in for `CallerConnection` that keeps the answer to a poll."""
 
     def __init__(self) -> None:
         self.answer = Answer(500, [])
 
     def send(self, answer: Answer) -> None:
-        """Take the answer."""
+        """Store the answer."""
         self.answer = answer
 
 
 class ModelClient:
-    """A client of another entry.
+    """A stand-in for `HttpClient` that calls another entry over the simulated network.
 
     Parameters
     ----------
     own : Node, optional
-        The node that calls; None: one beside the entry that is called.
+        The calling node; None: a node at the location of the called entry.
     """
 
     def __init__(self, fleet: StoreFleet, address: Address, own: Node | None = None) -> None:
@@ -75,7 +75,7 @@
     async def call(
         self, method: str, target: str, *, body: bytes = b"", timeout_s: float
     ) -> HttpAnswer:
-        """Make one call."""
+        """Call the other entry, and return its answer."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._call(method, target)
@@ -83,7 +83,7 @@
             raise HttpCallError("no answer in time") from None
 
     async def _call(self, method: str, target: str) -> HttpAnswer:
-        """Reach the other entry, if it is up."""
+        """Send the call to the other entry, if it is up, and wait for its answer."""
         node = self._fleet.nodes[self._address.port]
         own = self._own if self._own is not None else Node(node.place)
         await self._fleet.network.travel(own, node)
@@ -106,7 +106,7 @@
 
 
 class ModelTransport:
-    """The way of an entry's datagrams to other entries."""
+    """A datagram transport that sends an entry's datagrams over the simulated network."""
 
     def __init__(self, fleet: StoreFleet, own: MemberRecord) -> None:
         self._fleet = fleet
@@ -126,21 +126,21 @@
 
 
 class Part(Protocol):
-    """A part of an entry that has a task."""
+    """A component of an entry that runs as a task."""
 
     def run(self) -> Coroutine[Any, Any, None]:
         """Run until cancelled."""
 
 
 class ModelEntry:
-    """The parts of an entry that keep it in step with the store.
+    """The components of an entry that synchronize it with the store and other entries.
 
     Attributes
     ----------
     port, sender : DatagramPort, NoticeSender
-        Messages of and to other entries.
+        Port for messages from and to other entries, and the sender of notices.
     exchanges : list of Part
-        What runs beside the other tasks.
+        Components that run beside the synchronization, registration and maintenance.
     """
 
     def __init__(self, fleet: StoreFleet, member: MemberRecord) -> None:
@@ -206,7 +206,7 @@
         self._serving: set[asyncio.Task[None]] = set()
 
     def _note_change(self, change: Change) -> None:
-        """Write the own record again where it is gone."""
+        """Write the entry's own record again if it was removed from the store."""
         if isinstance(change, MemberGone) and change.name == self.name:
             self.registration.rewrite_record()
 
@@ -216,14 +216,14 @@
         self.tasks = [start_on(self.node, part.run()) for part in parts]
 
     def serve(self, answering: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Answer a call of another entry."""
+        """Start a task on this entry's node that answers a call of another entry."""
         task = start_on(self.node, answering)
         self._serving.add(task)
         task.add_done_callback(self._serving.discard)
         return task
 
     def stop(self) -> None:
-        """End the tasks at once, as a killed process does."""
+        """Cancel all tasks at once, like a killed process."""
         for task in [*self.tasks, *self._serving]:
             task.cancel()
         self.tasks = []
--- a/halldoor/standins/modelnetwork.py
+++ b/halldoor/standins/modelnetwork.py
@@ -1,4 +1,4 @@
-"""A network between entries and their store in virtual time, and the faults of its nodes."""
+"""Simulated network between entries and their store in virtual time, with node faults."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from typing import Any, NamedTuple
 
 CUT_CHECK_S = 0.05
-"""Period at which what waits behind a cut tries again, in seconds."""
+"""Interval at which a transmission held up by isolation checks whether it may pass, in seconds."""
 RETRANSMISSION_S = 0.2
-"""Time until a lost part of a call is sent again, in seconds; it doubles each time."""
+"""Time until a lost segment of a call is retransmitted, in seconds; it doubles each time."""
 
 ATTEMPTS_MOST = 8
-"""Times that a lost part of a call is sent again."""
+"""Most times that a lost segment of a call is retransmitted."""
 
 
 class Place(NamedTuple):
-    """Where a node stands."""
+    """Hall and region of a node."""
 
     hall: str
     region: str
@@ -32,7 +32,7 @@
     far_s: float = 0.004
 
     def find(self, a: Place, b: Place) -> float:
-        """Return the delay between two places, in seconds."""
+        """Return the one-way delay between two locations, in seconds."""
         if a.region != b.region:
             return self.far_s
         return self.hall_s if a.hall == b.hall else self.region_s
@@ -44,11 +44,11 @@
     Attributes
     ----------
     slow_s : float
-        Time until it turns to what arrives, in seconds.
+        Delay before it processes a message that arrived, in seconds.
     loss : float
-        Share of the messages from and to it that is lost.
+        Share of the messages from and to it that are lost.
     is_isolated : bool
-        Nothing reaches it, and nothing of its own reaches others.
+        No message from or to it arrives.
     """
 
     def __init__(self, place: Place) -> None:
@@ -61,17 +61,17 @@
 
     @property
     def is_suspended(self) -> bool:
-        """Whether nothing runs on it."""
+        """Whether the node is suspended: none of its tasks runs."""
         return self._resumed is not None
 
     def suspend(self, for_s: float) -> None:
-        """Let nothing run for a time, in seconds."""
+        """Suspend all tasks of the node for a time, in seconds."""
         if self._resumed is None:
             self._resumed = asyncio.Event()
             asyncio.get_running_loop().call_later(for_s, self._resume)
 
     def _resume(self) -> None:
-        """Run on, and read what has arrived meanwhile."""
+        """Resume the tasks, and process the messages that arrived during the suspension."""
         if self._resumed is not None:
             self._resumed.set()
             self._resumed = None
@@ -80,12 +80,12 @@
             receive()
 
     async def wait_until_resumed(self) -> None:
-        """Wait while it is suspended."""
+        """Wait while the node is suspended."""
         while self._resumed is not None:
             await self._resumed.wait()
 
     def receive(self, receive: Callable[[], None]) -> None:
-        """Receive a message, or keep it until the node runs on."""
+        """Process a message, or keep it until the node is resumed."""
         if self.is_suspended:
             self._unread.append(receive)
         else:
@@ -106,7 +106,7 @@
         self._random = random
 
     async def travel(self, sender: Node, receiver: Node) -> None:
-        """Bring a part of a call over a connection: what is lost is sent again."""
+        """Transmit a segment of a call over a connection; lost segments are retransmitted."""
         delay_s = self._delays.find(sender.place, receiver.place)
         for attempt in range(ATTEMPTS_MOST):
             if not self._is_lost(sender, receiver):
@@ -134,7 +134,7 @@
 
 
 class _NodeCoroutine(Coroutine[Any, Any, Any]):
-    """A coroutine that makes no step while its node is suspended."""
+    """A wrapper that pauses a coroutine while its node is suspended."""
 
     def __init__(self, inner: Coroutine[Any, Any, Any], node: Node) -> None:
         self._inner = inner
@@ -143,7 +143,7 @@
         self._has_started = False
 
     def _run(self) -> Generator[Any, Any, Any]:
-        """Make the steps of the inner coroutine."""
+        """Step through the inner coroutine, waiting while the node is suspended."""
         error: BaseException | None = None
         while True:
             while self._node.is_suspended:
@@ -159,22 +159,22 @@
             try:
                 yield step
             except (Exception, asyncio.CancelledError) as exc:
-                # The task also throws the error of what was waited for.
+                # Errors of the awaited future arrive here as well.
                 error = exc
 
     def send(self, value: Any) -> Any:
-        """Make a step."""
+        """Resume the coroutine until it next waits."""
         self._has_started = True
         return self._steps.send(value)
 
     def throw(self, *error: Any) -> Any:
-        """Raise an error within."""
+        """Raise an error in the inner coroutine."""
         if not self._has_started:
             self._inner.close()
         return self._steps.throw(*error)
 
     def close(self) -> None:
-        """End it."""
+        """Close the wrapper and the inner coroutine."""
         self._steps.close()
         self._inner.close()
 
@@ -188,7 +188,7 @@
     *,
     context: contextvars.Context | None = None,
 ) -> asyncio.Task[Any]:
-    """Create a task that stands still with its node; a task factory of event loops."""
+    """Create a task that is suspended with its node; used as an event loop's task factory."""
     node = _node.get() if context is None else context.get(_node)
     if node is not None:
         coroutine = _NodeCoroutine(coroutine, node)
@@ -196,7 +196,7 @@
 
 
 def start_on(node: Node, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-    """Start a task, and all tasks that it starts, on a node."""
+    """Start a task on a node; tasks that it starts run on the same node."""
     context = contextvars.copy_context()
     context.run(_node.set, node)
     return asyncio.get_running_loop().create_task(coroutine, context=context)
--- a/halldoor/standins/moves.py
+++ b/halldoor/standins/moves.py
@@ -1,4 +1,4 @@
-"""How much of a region's requests moves to other regions, and when, in a replay."""
+"""Shifts of a region's requests to other regions during a replay."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from halldoor.standins.replay import Run
 
 SLIDE_S = 0.25
-"""Step by which the pairs of windows slide, in seconds."""
+"""Distance between the starts of successive pairs of windows, in seconds."""
 DISRUPTED_S = 4.0
-"""Time after a disruption in which what moves is not judged, in seconds."""
+"""Time around a disruption in which moves are ignored, in seconds."""
 
 
 class Move(NamedTuple):
-    """What moved from one window to the next.
+    """Change of the regions that ran requests, from one window to the next.
 
     Attributes
     ----------
     part : float
-        Part of the requests that ran in another region than before.
+        Share of the requests that ran in another region than in the window before.
     at_s : float
-        When the second window begins, in seconds.
+        Start of the second window, in seconds.
     """
 
     part: float
@@ -33,9 +33,9 @@
 
 
 def list_moves(runs: Sequence[Run], origin: str, pattern: Pattern) -> list[Move]:
-    """List how much of a region's requests moved, for each pair of adjacent windows.
+    """List the move of a region's requests for each pair of adjacent windows.
 
-    Windows that begin within `DISRUPTED_S` of a disruption, or hold one, are left out.
+    Pairs that begin within `DISRUPTED_S` of a disruption, or contain one, are left out.
     """
     moves = []
     at_s = 2 * WINDOW_S
@@ -53,12 +53,12 @@
 
 
 def find_largest_move(runs: Sequence[Run], origin: str, pattern: Pattern) -> Move:
-    """Find the largest move of a region's requests outside disruptions."""
+    """Return the largest move of a region's requests outside disruptions."""
     return max(list_moves(runs, origin, pattern))
 
 
 def _is_disrupted(pattern: Pattern, since_s: float, until_s: float) -> bool:
-    """Check whether a time lies in or shortly after a disruption."""
+    """Check whether a period contains a disruption or begins within `DISRUPTED_S` of one."""
     times = [0.0]
     for evacuation in pattern.evacuations:
         times += [evacuation.at_s, evacuation.until_s]
--- a/halldoor/standins/patterns.py
+++ b/halldoor/standins/patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns for replays, as data."""
+"""Load patterns for `halldoor.standins.replay`, built in or read from YAML."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class _Data(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Data that may come from a file."""
+    """Base of the classes that may be read from a YAML file."""
 
 
 class Slowdown(_Data, frozen=True, kw_only=True):
-    """A part of the targets works slower for a while."""
+    """A period in which a share of the targets takes ``factor`` times as long for a request."""
 
     at_s: float
     for_s: float
@@ -24,12 +24,12 @@
 
 
 class Evacuation(_Data, frozen=True, kw_only=True):
-    """The targets of a hall get nothing for a while, and are cold when they return.
+    """A period in which a hall's targets receive no requests; they are cold when it ends.
 
     Attributes
     ----------
     cold_s : float
-        Time that they stay cold after their return, in seconds.
+        Time for which the targets stay cold after the evacuation, in seconds.
     """
 
     hall: str
@@ -39,12 +39,12 @@
 
     @property
     def until_s(self) -> float:
-        """When the targets return, in seconds."""
+        """End of the evacuation, in seconds from the start of the run."""
         return self.at_s + self.for_s
 
 
 class Burst(_Data, frozen=True, kw_only=True):
-    """More callers come for a while."""
+    """A period in which the request rate is multiplied by ``factor``."""
 
     at_s: float
     for_s: float
@@ -52,12 +52,12 @@
 
 
 class HallLoad(_Data, frozen=True, kw_only=True):
-    """A hall.
+    """Size and load of a hall.
 
     Attributes
     ----------
     callers : float
-        How many of all callers ask here, in parts of the sum over the halls.
+        Relative weight of the hall's callers: its share of requests is this over the sum.
     """
 
     region: str
@@ -67,25 +67,25 @@
 
 
 class Pattern(_Data, frozen=True, kw_only=True):
-    """A fleet and its load.
+    """A fleet, its load and its faults.
 
     Attributes
     ----------
     halls : dict of str to HallLoad
         The halls by name.
     rate_per_s : float
-        Requests of all callers.
+        Requests a second of all callers.
     keys : int
-        Keys of each region, all asked alike often.
+        Number of keys of each region; all are requested equally often.
     warm_s, cold_s, aim_s, timeout_s, far_s, near_s : float
-        Work with and without the key at hand, the route's aim and limit, and the round trips to
-        another region and within one, in seconds.
+        Work time with a warm and with a cold key, the route's aim and timeout, and the round trip
+        times to another region and within one, in seconds.
     warm_keys : int
-        Keys that a target keeps warm.
+        Number of keys that a target keeps warm; the least recently used one is dropped.
     sharing_s : float or None
-        Time after which the other entries of a hall know of an answer, in seconds; None: never.
+        Delay after which the other entries of a hall record an answer, in seconds; None: never.
     cold_rate_per_s : float
-        Requests a second that a cold target bears.
+        Requests a second that a cold target accepts.
     """
 
     halls: Annotated[dict[str, HallLoad], msgspec.Meta(min_length=1)]
@@ -108,15 +108,15 @@
     cold_rate_per_s: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check what only the whole tells."""
+        """Check that some hall has callers and that evacuations name existing halls."""
         if not sum(hall.callers for hall in self.halls.values()):
             raise ValueError("no hall has callers")
         unknown = {e.hall for e in self.evacuations} - self.halls.keys()
         if unknown:
-            raise ValueError(f"evacuations name no hall of it: {', '.join(sorted(unknown))}")
+            raise ValueError(f"evacuations name unknown halls: {', '.join(sorted(unknown))}")
 
     def get_rate(self, now: float) -> float:
-        """Return the rate of requests at a moment."""
+        """Return the request rate at a time, in requests a second."""
         rate = self.rate_per_s
         for burst in self.bursts:
             if burst.at_s <= now < burst.at_s + burst.for_s:
@@ -141,7 +141,7 @@
     timeout_s=3.0,
 )
 SMALL = Pattern(
-    # 12 entries and 20 targets that work a third as long.
+    # 12 entries and 20 targets with a third of the work time.
     halls={
         "ams-a": HallLoad(region="ams", entries=4, targets=2, callers=1 / 3),
         "ehv-a": HallLoad(region="ehv", entries=4, targets=8, callers=1 / 3),
@@ -156,7 +156,7 @@
     timeout_s=1.0,
 )
 SHIFTED = Pattern(
-    # 75 entries and 68 targets of few slots that work briefly; each keeps a few dozen keys.  0.5
+    # 75 entries and 68 targets with few slots and short work times; each keeps 25 keys warm.  0.5
     # of the slots are busy once every key is warm, more than all of them while none is.
     halls={
         "ams-a": HallLoad(region="ams", entries=25, targets=7, callers=1 / 3),
@@ -176,8 +176,8 @@
     sharing_s=0.15,
 )
 RETURN = Pattern(
-    # The reads of 10 entries and 20 targets.  A region of two halls is at the height of its day
-    # when one of them is evacuated, and 10 s later its targets come back, cold for 6 s.
+    # Read requests at 10 entries and 20 targets.  One hall of a region with two is evacuated at
+    # the region's daily peak; 10 s later its targets return and are cold for 6 s.
     halls={
         "ams-a": HallLoad(region="ams", entries=2, targets=4, callers=0.24),
         "ams-b": HallLoad(region="ams", entries=2, targets=4, callers=0.24),
@@ -199,7 +199,8 @@
 )
 RETURN_REGION = msgspec.structs.replace(
     RETURN,
-    # Both of its halls, in the slope of the day: all that the region can do was elsewhere.
+    # Both halls of the region are evacuated, at a rate below the daily peak: all requests of the
+    # region ran elsewhere.
     rate_per_s=220.0,
     length_s=44.0,
     evacuations=(
@@ -222,4 +223,4 @@
     "small fleet, 0.5 of the slots busy": SMALL,
     "a hall of two returns cold": RETURN,
 }
-"""Patterns by what they are."""
+"""Built-in patterns by description."""
--- a/halldoor/standins/platform.py
+++ b/halldoor/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: key-value service, leases, watches, host list, faults."""
+"""Stand-in for the platform: key-value service, leases, watches, host list and faults."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong, set by ``POST /faults``.
+    """Faults of the platform, set by ``POST /faults``.
 
     Attributes
     ----------
     down : bool
-        Answer nothing but 503.
+        Answer every request with 503.
     slow_s : float
-        Wait this long before each answer.
+        Delay before each answer, in seconds.
     lose_answers : int
-        Carry out this many more writes and then break the connection.
+        Number of next writes that are carried out without an answer: the connection is cut.
     rubbish : bool
-        Answer with bytes that mean nothing.
+        Answer with invalid bytes.
     cut_off : list of str
-        Callers, by ``Platform-Caller`` header, that can't get through.
+        Callers, by ``Platform-Caller`` header, that can't reach the platform.
     """
 
     down: bool = False
@@ -54,7 +54,7 @@
         self.hosts: dict[str, bool] = {}
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
-        """Serve one request."""
+        """Serve one HTTP request, unless a fault prevents it."""
         path = unquote(environ["PATH_INFO"])
         kind = path.split("/")[1]
         if kind == "faults":
@@ -72,7 +72,7 @@
         return self._route(kind, path, environ, start_response)
 
     def _route(self, kind: str, path: str, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """Find what a path asks for."""
+        """Pass a request to the method for its path."""
         query = {k: v[0] for k, v in parse_qs(environ.get("QUERY_STRING", "")).items()}
         name = path[len(kind) + 2 :]
         method = environ["REQUEST_METHOD"]
@@ -90,7 +90,7 @@
         return _answer(start, 404, b"")
 
     def _expire(self) -> None:
-        """Drop lapsed leases and their keys."""
+        """Drop expired leases and their keys."""
         now = time.monotonic()
         for lease in [k for k, (_, ends) in self._leases.items() if ends <= now]:
             self._drop_lease(lease)
@@ -102,7 +102,7 @@
             del self._values[key]
 
     def _get(self, key: str, start: Any) -> Iterable[bytes]:
-        """Read a key."""
+        """Answer with the value and version of a key."""
         with self._lock:
             self._expire()
             value = self._values.get(key)
@@ -113,7 +113,7 @@
     def _put(
         self, environ: dict[str, Any], key: str, expected: str | None, lease: str, start: Any
     ) -> Iterable[bytes]:
-        """Write a key by compare-and-swap."""
+        """Write a key, unless its version differs from the expected one or its lease is gone."""
         data = _read_body(environ)
         if len(data) > VALUE_LIMIT:
             return _answer(start, 413, b"too large")
@@ -135,7 +135,7 @@
         return _answer(start, 200, b"", version=version)
 
     def _watch(self, key: str, after: int, timeout_s: float, start: Any) -> Iterable[bytes]:
-        """Wait for a newer version of a key."""
+        """Answer as soon as a key has a version newer than ``after``, or 204 at the time-out."""
         ends = time.monotonic() + timeout_s
         with self._lock:
             while not self.faults.down:
@@ -149,7 +149,7 @@
         return _answer(start, 503, b"down")
 
     def _lease(self, method: str, name: str, query: dict[str, str], start: Any) -> Iterable[bytes]:
-        """Create, renew or end a lease."""
+        """Create, renew or delete a lease."""
         with self._lock:
             self._expire()
             if not name:
@@ -168,7 +168,7 @@
             return _answer(start, 200, b"ok")
 
     def _hosts(self, method: str, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """List the hosts, or set them for a test."""
+        """Answer with the list of hosts, after replacing it for ``PUT``."""
         if method == "PUT":
             self.hosts = msgspec.json.decode(_read_body(environ), type=dict[str, bool])
         rows = [[name, leaving] for name, leaving in self.hosts.items()]
@@ -176,7 +176,7 @@
 
 
 def _read_body(environ: dict[str, Any]) -> bytes:
-    """Read the request's body."""
+    """Return the request's body."""
     return environ["wsgi.input"].read(int(environ.get("CONTENT_LENGTH") or 0))
 
 
@@ -184,7 +184,7 @@
 
 
 def _answer(start: Any, status: int, body: bytes, *, version: int | None = None) -> list[bytes]:
-    """Start an answer and give its body."""
+    """Start an answer, and return its body for WSGI."""
     headers = [("Content-Length", str(len(body)))] if status != 204 else []
     if version is not None:
         headers.append(("Platform-Version", str(version)))
--- a/halldoor/standins/quotafleet.py
+++ b/halldoor/standins/quotafleet.py
@@ -1,7 +1,7 @@
-"""Ways to keep a team's quota over a fleet of entries, in virtual time.
+"""Simulation of strategies that enforce a team's quota over a fleet of entries.
 
-A model for tests and measurements: entries that are asked at random, messages with delays, losses
-and cuts, and the product's own gate and ledger as one of the ways.
+In virtual time, for tests and measurements: requests arrive at random entries, and messages are
+delayed, lost or cut.  The product's own gate and ledger are one of the strategies.
 """
 
 from __future__ import annotations
@@ -20,28 +20,29 @@
 
 TEAM = "north"
 QUIET_S = 2.0
-"""Seconds before the first request, in which entries hear of each other."""
+"""Time before the first request, in which entries exchange reports, in seconds."""
 WINDOW_S = 5.0
 EXCESS, SLACK = 0.1, 20.0
 """The operators' bound: (rate x window + burst) x (1 + excess) + slack in any window."""
 MESSAGE_BYTES = 60
-"""Size of a message with one team, headers of the network included."""
+"""Size of a message about one team, network headers included, in bytes."""
 
 
 class Trouble(NamedTuple):
-    """What goes wrong on a run.
+    """Faults of the messages and the collectors in a run.
 
     Attributes
     ----------
     loss, doubling : float
-        Parts of the messages that are lost, and that come twice.
+        Shares of the messages that are lost, and that arrive twice.
     delay_s : float
-        Mean time of a message on its way, in seconds.
+        Mean delay of a message, in seconds.
     cut_entries, cut_collectors : int
-        Entries, and of the collectors the first ones, that are cut off from the others between
-        `cut_from_s` and `cut_to_s`, not from each other.
+        Number of entries and of collectors, counted from the first, that exchange no messages
+        with the others between `cut_from_s` and `cut_to_s`.  They still reach each other.
     restart_s : float
-        When the collector, or a team's home, starts again and knows nothing.
+        Time at which the first collector, or the team's home entry, restarts with no state, in
+        seconds.
     """
 
     loss: float = 0.0
@@ -55,16 +56,16 @@
 
 
 class Run:
-    """One run: entries that are asked, and what a way admits.
+    """One simulation run: requests at the entries, and those that a strategy admits.
 
     Parameters
     ----------
     entries : int
-        Entries of the fleet.
+        Number of entries in the fleet.
     limit : TeamLimit
         The team's quota.
     seed : int
-        Of all chance.
+        Seed of all random draws.
     """
 
     def __init__(self, entries: int, limit: TeamLimit, trouble: Trouble, *, seed: int) -> None:
@@ -79,18 +80,18 @@
         self._numbers = itertools.count()
 
     def at(self, when: float, action: Callable[..., None], *args: Any) -> None:
-        """Do something at a time; the action gets that time first."""
+        """Schedule an action at a time; the time is passed as its first argument."""
         heapq.heappush(self._events, (when, next(self._numbers), action, args))
 
     def send(
         self, now: float, entry: int, action: Callable[..., None], *args: Any, collector: int = -1
     ) -> None:
-        """Carry a message between an entry and a collector; it may be lost, late or doubled.
+        """Send a message between an entry and a collector; it may be lost, delayed or duplicated.
 
         Parameters
         ----------
         collector : int, optional
-            Place of the collector; -1 where it is any of the entries that are not cut off.
+            Rank of the collector; -1 for any entry that is not cut off.
         """
         trouble = self._trouble
         self.messages += 1
@@ -110,7 +111,11 @@
         until_s: float = 14.0,
         weights: Sequence[float] | None = None,
     ) -> Run:
-        """Play requests that come at random; ``weights`` says how often each entry is asked."""
+        """Run the simulation with a strategy until a time.
+
+        ``rate_at`` returns the team's request rate a second at a time, and ``weights`` are the
+        relative shares of the requests that arrive at each entry.
+        """
         way.start(self)
         self.at(self._trouble.restart_s, way.restart)
         now = QUIET_S
@@ -124,15 +129,13 @@
         return self
 
     def _ask(self, now: float, way: QuotaWay, entry: int) -> None:
-        """Ask an entry once."""
+        """Count one request at an entry, and whether the strategy admits it."""
         self.asked.append(now)
         if way.admit(now, entry):
             self.admitted.append(now)
 
-    # What came of it
-
     def find_worst_window(self) -> int:
-        """Find the most that was admitted in any window."""
+        """Return the largest number of requests admitted in any window of `WINDOW_S`."""
         worst = first = 0
         for last, when in enumerate(self.admitted):
             while self.admitted[first] <= when - WINDOW_S:
@@ -142,12 +145,12 @@
 
     @property
     def bound(self) -> float:
-        """The most that may be admitted in any window."""
+        """Largest number of requests that may be admitted in any window."""
         limit = self.limit
         return (limit.rate_per_s * WINDOW_S + limit.burst) * (1 + EXCESS) + SLACK
 
     def count_allowed(self) -> int:
-        """Count what one token bucket that sees every request at once would admit."""
+        """Count the requests that one token bucket for the whole fleet would admit."""
         level, at, allowed = self.limit.burst, 0.0, 0
         for when in self.asked:
             level = min(self.limit.burst, level + (when - at) * self.limit.rate_per_s)
@@ -159,49 +162,48 @@
 
 
 class QuotaWay(ABC):
-    """A way to keep a quota."""
+    """A strategy that enforces a team's quota over all entries."""
 
     run: Run
 
     def start(self, run: Run) -> None:
-        """Begin a run."""
+        """Initialize the strategy's state for a run."""
         self.run = run
 
     def restart(self, now: float) -> None:
-        """Forget what the collector or the home knew, if there is one."""
+        """Restart the first collector or the home entry, if there is one, with no state."""
         return
 
     @abstractmethod
     def admit(self, now: float, entry: int) -> bool:
-        """Decide about one request at an entry."""
+        """Return whether an entry admits a request."""
 
 
 class EqualParts(QuotaWay):
-    """Each entry has an equal part of the quota, at least one request at once; no messages."""
+    """Each entry has an equal share of the quota, with a burst of at least one; no messages."""
 
     def start(self, run: Run) -> None:
-        """Return each entry its bucket."""
+        """Create a token bucket for each entry."""
         super().start(run)
         self._buckets = [EntryBucket(0.0) for _ in range(run.entries)]
         limit, n = run.limit, run.entries
         self._part = TeamLimit(limit.rate_per_s / n, max(1.0, limit.burst / n))
 
     def admit(self, now: float, entry: int) -> bool:
-        """Admit by the entry's own part."""
+        """Admit a request if the bucket of the entry's equal share has a token."""
         return self._buckets[entry].take_token(self._part, now) <= 0.0
 
 
 class DemandParts(QuotaWay):
-    """Entries tell each other what they are asked; each has the part that its demand is of all.
+    """Entries report their demand to each other; each has a share in proportion to its demand.
 
-    A tenth of the quota is shared evenly, so that an entry that is asked for the first time has
-    some of it.
+    A tenth of the quota is divided evenly, so that an entry has some of it at its first request.
     """
 
     EVEN_SHARE = 0.1
 
     def start(self, run: Run) -> None:
-        """Begin to tell."""
+        """Schedule each entry's first report."""
         super().start(run)
         self._buckets = [EntryBucket(0.0) for _ in range(run.entries)]
         self._asked = [0.0] * run.entries
@@ -210,17 +212,17 @@
             run.at(run.random.random() * find_period(run.entries), self._tell, entry)
 
     def _tell(self, now: float, entry: int) -> None:
-        """Tell the others, by way of one that passes it on."""
+        """Report an entry's demand to the others through one entry that forwards it."""
         self.run.send(now, entry, self._hear, self._asked[entry])
         self._asked[entry] *= 0.5
         self.run.at(now + find_period(self.run.entries), self._tell, entry)
 
     def _hear(self, now: float, entry: int, asked: float) -> None:
-        """Take what an entry was asked."""
+        """Record an entry's reported demand."""
         self._told[entry] = asked
 
     def admit(self, now: float, entry: int) -> bool:
-        """Admit by the entry's part of the demand."""
+        """Admit a request if the bucket of the entry's share by demand has a token."""
         self._asked[entry] += 1.0
         even = self.EVEN_SHARE / self.run.entries
         part = even + (1 - self.EVEN_SHARE) * self._told[entry] / max(1.0, sum(self._told))
@@ -230,12 +232,12 @@
 
 
 class HomeTokens(QuotaWay):
-    """One entry is the team's home and grants tokens that last a second, ahead of need."""
+    """One entry, the team's home, grants tokens ahead of need that are valid for one second."""
 
     LIFETIME_S = 1.0
 
     def start(self, run: Run) -> None:
-        """Fill the home's bucket; nobody has tokens."""
+        """Start with a full bucket at the home and no tokens at the entries."""
         super().start(run)
         self._home = EntryBucket(0.0)
         self._tokens: list[list[float]] = [[] for _ in range(run.entries)]
@@ -243,13 +245,13 @@
         self._need = [0.0] * run.entries
 
     def restart(self, now: float) -> None:
-        """Begin with an empty bucket: what was granted is not known."""
+        """Restart the home with an empty bucket, since the tokens it granted are unknown."""
         self._home = EntryBucket(now)
         while self._home.take_token(self.run.limit, now) <= 0.0:
             pass
 
     def admit(self, now: float, entry: int) -> bool:
-        """Spend a token; ask for more where few are left."""
+        """Spend a token, and request more from the home if none is left."""
         tokens = [until for until in self._tokens[entry] if until > now]
         self._need[entry] += 1.0
         is_admitted = bool(tokens)
@@ -264,29 +266,29 @@
         return is_admitted
 
     def _ask_again(self, now: float, entry: int) -> None:
-        """Allow another question: the last may be lost."""
+        """Allow another request for tokens, since the last one may be lost."""
         self._is_asking[entry] = False
 
     def _grant(self, now: float, entry: int, wanted: int) -> None:
-        """Grant tokens out of the home's bucket."""
+        """Grant up to ``wanted`` tokens from the home's bucket."""
         granted = sum(self._home.take_token(self.run.limit, now) <= 0.0 for _ in range(wanted))
         self.run.send(now, entry, self._receive, granted)
 
     def _receive(self, now: float, entry: int, granted: int) -> None:
-        """Keep tokens for a while."""
+        """Store granted tokens with their expiry."""
         self._is_asking[entry] = False
         self._tokens[entry] += [now + self.LIFETIME_S] * granted
 
 
 class CollectorShares(QuotaWay):
-    """The product's way: counts go to collectors, the first of which answers with shares.
+    """The product's strategy: entries report counts to collectors, which answer with shares.
 
-    As in the product there are several, and a restart hits the first; the others' answers count
-    while it is silent.
+    As in the product there are several collectors.  A restart affects the first one; the answers
+    of the others are used while it is silent.
     """
 
     def start(self, run: Run) -> None:
-        """Begin to report."""
+        """Create the gates and ledgers, and schedule each entry's first report."""
         super().start(run)
         limits = {TEAM: run.limit}
         self._gates = [QuotaGate(f"e{i}", i + 1, run.random.random) for i in range(run.entries)]
@@ -298,28 +300,28 @@
             run.at(run.random.random() * find_period(run.entries), self._report, entry)
 
     def _make_ledger(self, now: float) -> QuotaLedger:
-        """Make a collector that knows nothing yet."""
+        """Create the ledger of a newly started collector."""
         ledger = QuotaLedger()
         ledger.set_limits({TEAM: self.run.limit}, now)
         return ledger
 
     def restart(self, now: float) -> None:
-        """Begin with a first collector that knows nothing."""
+        """Restart the first collector with an empty ledger."""
         self._ledgers[0] = self._make_ledger(now)
 
     def admit(self, now: float, entry: int) -> bool:
-        """Admit by the entry's gate."""
+        """Admit a request if the entry's quota gate does."""
         return self._gates[entry].admit(TEAM, now, entries=self.run.entries).is_admitted
 
     def _report(self, now: float, entry: int) -> None:
-        """End a period and report it."""
+        """Close an entry's period, report it to all collectors, and schedule the next report."""
         report = self._gates[entry].close_period()
         for place in range(COLLECTORS):
             self.run.send(now, entry, self._collect, place, report, collector=place)
         self.run.at(now + find_period(self.run.entries), self._report, entry)
 
     def _collect(self, now: float, entry: int, place: int, report: Report) -> None:
-        """Count a report, and answer it."""
+        """Add a report to a collector's ledger, and answer it with shares."""
         entries, ledger = self.run.entries, self._ledgers[place]
         ledger.add_report(report, now)
         period_s = find_period(entries)
@@ -330,7 +332,7 @@
         self.run.send(now, entry, self._answer, place, answer, collector=place)
 
     def _answer(self, now: float, entry: int, place: int, shares: Shares) -> None:
-        """Take an answer as the product does."""
+        """Apply a collector's answer; a later collector's only while the first one is silent."""
         handover_s = HANDOVER_PERIODS * find_period(self.run.entries)
         if place and now - self._first_answer_at[entry] <= handover_s:
             return
--- a/halldoor/standins/ratefleet.py
+++ b/halldoor/standins/ratefleet.py
@@ -1,7 +1,8 @@
-"""Ways to divide a target's rate among entries, in virtual time.
+"""Simulation of strategies that divide a target's request rate among entries.
 
-A model for tests and measurements: entries that are asked at random, what each of them knows of the
-others, and messages that are lost or cut.  The product's own share is one of the ways.
+In virtual time, for tests and measurements: requests arrive at random entries, each entry has its
+own view of the registered entries, and messages are lost or cut.  The product's own share is one of
+the strategies.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 
 TARGET = "t1"
 LAPSE_S = 3.0
-"""Time after which an entry that is cut off from the store is no longer registered, in seconds."""
+"""Time until the record of an entry that is cut off from the store expires, in seconds."""
 DELAY_S = 0.01
-"""Mean time of a message on its way, in seconds."""
+"""Mean delay of a message, in seconds."""
 
 
 HALLS = 6
-"""Halls that the entries are in."""
+"""Number of halls over which the entries are spread."""
 
 
 def list_receivers(names: Sequence[str]) -> list[list[int]]:
@@ -40,18 +41,18 @@
 
 
 class Bound(NamedTuple):
-    """What all entries together may send.
+    """Limit on the requests that all entries together send to the target.
 
     Attributes
     ----------
     limit_per_s : float
-        Rate that is divided.
+        Request rate that is divided among the entries.
     window_s : float
-        Length of the sliding window that is judged, in seconds.
+        Length of the sliding window in which requests are counted, in seconds.
     allowed : float
-        Most requests in any such window.
+        Largest number of requests in any such window.
     share_s : float
-        Window by which shares are counted, in seconds.
+        Length of the window in which entries count their shares, in seconds.
     """
 
     limit_per_s: float
@@ -61,23 +62,23 @@
 
     @property
     def share(self) -> int:
-        """Requests in the window of shares that all entries together may send."""
+        """Requests that all entries together may send in one window of ``share_s``."""
         return max(1, int(self.limit_per_s * self.share_s))
 
 
 class Trouble(NamedTuple):
-    """What goes wrong on a run.
+    """Faults of the store connection, the messages and the entries in a run.
 
     Attributes
     ----------
     cut_share : float
-        Part of the entries that the store can't reach between `cut_from_s` and `cut_to_s`.
+        Share of the entries that are cut off from the store between `cut_from_s` and `cut_to_s`.
     is_isolated : bool
-        They don't reach other entries either.
+        These entries can't reach other entries either.
     loss : float
-        Part of the messages between entries that are lost.
+        Share of the messages between entries that are lost.
     restart_s : float
-        When all entries restart, and know nothing of what they sent.
+        Time at which all entries restart and lose their counts, in seconds.
     """
 
     cut_share: float = 0.0
@@ -89,16 +90,16 @@
 
 
 class Run:
-    """One run: entries that are asked for one target.
+    """One simulation run: requests for one target at all entries.
 
     Parameters
     ----------
     entries : int
-        Entries of the fleet.
+        Number of entries in the fleet.
     asked_per_s : float
-        Requests for the target a second, at any entry.
+        Requests for the target a second, over all entries.
     seed : int
-        Of all chance.
+        Seed of all random draws.
 
     Attributes
     ----------
@@ -122,16 +123,16 @@
         self._numbers = itertools.count()
 
     def at(self, when: float, action: Callable[..., None], *args: Any) -> None:
-        """Schedule an action; it gets the time first."""
+        """Schedule an action at a time; the time is passed as its first argument."""
         heapq.heappush(self._events, (when, next(self._numbers), action, args))
 
     def is_cut(self, entry: int, now: float) -> bool:
-        """Whether the store can't reach an entry."""
+        """Check whether an entry is cut off from the store."""
         trouble = self.trouble
         return entry in self._cut and trouble.cut_from_s <= now < trouble.cut_to_s
 
     def list_registered(self, entry: int, now: float) -> list[str]:
-        """Return the entries that an entry holds for registered, itself included."""
+        """Return the entries that are registered in one entry's view, itself included."""
         has_lapsed = now >= self.trouble.cut_from_s + LAPSE_S and not self.is_cut(entry, now)
         return [
             name
@@ -140,7 +141,7 @@
         ]
 
     def send(self, now: float, source: int, to: int, action: Callable[..., None], *a: Any) -> None:
-        """Carry a message between two entries, unless it is lost or cut."""
+        """Send a message between two entries, unless it is lost or cut."""
         self.messages += 1
         is_cut = self.trouble.is_isolated and (self.is_cut(source, now) or self.is_cut(to, now))
         if source != to and (is_cut or self.random.random() < self.trouble.loss):
@@ -148,7 +149,7 @@
         self.at(now + self.random.uniform(0.0, 2 * DELAY_S), action, to, *a)
 
     def play(self, way: RateWay, *, until_s: float = 15.0) -> Run:
-        """Play requests that come at random."""
+        """Run the simulation with a strategy until a time; requests arrive at random."""
         way.start(self)
         self.at(self.trouble.restart_s, way.restart)
         now = 0.0
@@ -161,13 +162,13 @@
         return self
 
     def _ask(self, now: float, way: RateWay, entry: int) -> None:
-        """Ask an entry once."""
+        """Count one request at an entry, and whether the strategy sends it."""
         self.asked.append((now, entry))
         if way.take(now, entry):
             self.sent.append((now, entry))
 
     def find_worst_window(self) -> int:
-        """Return the most that was sent in any window."""
+        """Return the largest number of requests sent in any window."""
         worst = first = 0
         for last, (when, _) in enumerate(self.sent):
             while self.sent[first][0] <= when - self.bound.window_s:
@@ -176,9 +177,9 @@
         return worst
 
     def find_use(self, *, is_cut: bool) -> float:
-        """Return the part of the rate that entries used during the cut, or the others did.
+        """Return the share of their fair rate that the entries of one side used during the cut.
 
-        It is relative to what they were asked, where that is less.
+        The fair rate is in proportion to the number of entries, and at most their demand.
         """
         trouble = self.trouble
         span_s = trouble.cut_to_s - trouble.cut_from_s
@@ -191,35 +192,38 @@
 
 
 class RateWay(ABC):
-    """A way to divide a target's rate."""
+    """A strategy that divides a target's rate among the entries."""
 
     run: Run
 
     def start(self, run: Run) -> None:
-        """Begin a run."""
+        """Initialize the strategy's state for a run."""
         self.run = run
         self.restart(0.0)
 
     @abstractmethod
     def restart(self, now: float) -> None:
-        """Forget everything, at all entries."""
+        """Reset the state of all entries."""
 
     @abstractmethod
     def take(self, now: float, entry: int) -> bool:
-        """Decide about one request at an entry."""
+        """Return whether an entry sends a request to the target."""
 
 
 class RankedShares(RateWay):
-    """Whole numbers by an order of entries that is alike on all that know the same others."""
+    """Each entry has a whole number of requests, by its rank among the registered entries.
+
+    Entries with the same view of the registered entries compute the same ranks.
+    """
 
     def restart(self, now: float) -> None:
-        """Begin with nothing sent."""
+        """Reset the counts of sent requests."""
         window_s = self.run.bound.share_s
         self._shares = [RateShare(window_s=window_s, began_at=now) for _ in self.run.names]
         self._orders: dict[tuple[str, ...], list[str]] = {}
 
     def take(self, now: float, entry: int) -> bool:
-        """Take from the entry's own share."""
+        """Reserve a request in the entry's own share."""
         members = tuple(self.list_sharers(now, entry))
         if members not in self._orders:
             self._orders[members] = rank(TARGET, members)
@@ -232,27 +236,30 @@
         )
 
     def list_sharers(self, now: float, entry: int) -> list[str]:
-        """Return the entries among which the rate is divided."""
+        """Return the names of the entries among which the rate is divided."""
         return self.run.list_registered(entry, now)
 
 
 class SteadyRankedShares(RankedShares):
-    """The same, with entries that lapsed counted on: they may be cut off, and serve."""
+    """Ranked shares that still count entries whose record expired.
+
+    Such an entry may only be cut off from the store, and still send requests.
+    """
 
     def list_sharers(self, now: float, entry: int) -> list[str]:
-        """Return the entries among which the rate is divided."""
+        """Return the names of the entries among which the rate is divided."""
         return self.run.names
 
 
 class EqualBuckets(RateWay):
-    """Each entry has a token bucket with an equal part of the rate, one request deep."""
+    """Each entry has a token bucket with an equal share of the rate and a burst of one."""
 
     def restart(self, now: float) -> None:
-        """Begin with a part of a token, drawn at random."""
+        """Reset each bucket to a random fraction of a token."""
         self._levels = [(self.run.random.random(), now) for _ in self.run.names]
 
     def take(self, now: float, entry: int) -> bool:
-        """Spend a token."""
+        """Spend a token if the bucket has one."""
         level, at = self._levels[entry]
         rate_per_s = self.run.bound.limit_per_s / len(self.run.list_registered(entry, now))
         level = min(1.0, level + rate_per_s * (now - at))
@@ -262,19 +269,19 @@
 
 
 class HomeGrants(RateWay):
-    """One entry is the target's home and grants single requests for the next second."""
+    """One entry, the target's home, grants single requests that are valid for one second."""
 
     LIFETIME_S = 1.0
     ASK_S = 0.2
 
     def restart(self, now: float) -> None:
-        """Begin with no grants; what was granted before is not known."""
+        """Reset all grants; those granted before are unknown."""
         self._granted = [RateShare(window_s=self.run.bound.share_s) for _ in self.run.names]
         self._tokens: list[list[float]] = [[] for _ in self.run.names]
         self._asked_at = [-1.0] * len(self.run.names)
 
     def take(self, now: float, entry: int) -> bool:
-        """Spend a grant, or ask the home for one."""
+        """Spend a grant, or request one from the home."""
         self._tokens[entry] = [until for until in self._tokens[entry] if until > now]
         if self._tokens[entry]:
             self._tokens[entry].pop(0)
@@ -292,5 +299,5 @@
             self.run.send(now, home, entry, self._receive)
 
     def _receive(self, now: float, entry: int) -> None:
-        """Keep a grant for a while."""
+        """Store a grant with its expiry."""
         self._tokens[entry].append(now + self.LIFETIME_S)
--- a/halldoor/standins/relay.py
+++ b/halldoor/standins/relay.py
@@ -1,4 +1,4 @@
-"""A relay between processes that can be cut, as a network can: silently."""
+"""TCP relays between processes that can be cut silently, as a network can."""
 
 from __future__ import annotations
 
@@ -14,9 +14,8 @@
 class Relays:
     """TCP relays in one thread.
 
-    A cut swallows bytes and new connections without closing anything, so that the
-    two sides find out by time-outs.  Connections that were caught by a cut are closed
-    once it ends.
+    During a cut, bytes and new connections are dropped without closing anything, so that
+    both sides only notice by time-outs.  Connections affected by a cut are closed once it ends.
     """
 
     def __init__(self) -> None:
@@ -25,7 +24,7 @@
         self._thread.start()
 
     def add(self, listen: tuple[str, int], to: tuple[str, int], is_cut: CutTest) -> None:
-        """Relay connections to ``to``; ``is_cut`` tells by the caller's address whether to."""
+        """Relay connections from ``listen`` to ``to`` unless ``is_cut(caller's address)``."""
 
         async def serve(reader: Any, writer: Any) -> None:
             # Cancelled only when all relays stop.
@@ -53,7 +52,7 @@
 
 
 async def _serve(reader: Any, writer: Any, to: tuple[str, int], is_cut: CutTest) -> None:
-    """Relay one connection."""
+    """Relay one connection in both directions."""
     source = writer.get_extra_info("peername")[0]
     try:
         if is_cut(source):
@@ -74,7 +73,7 @@
 
 
 async def _copy(reader: Any, writer: Any, source: str, is_cut: CutTest) -> None:
-    """Copy one direction; what a cut catches is lost with the connection."""
+    """Copy one direction of a connection; bytes read during a cut are dropped, and it closes."""
     with contextlib.suppress(OSError):
         while data := await reader.read(65_536):
             if is_cut(source):
@@ -86,6 +85,6 @@
 
 
 async def _wait_while(source: str, is_cut: CutTest) -> None:
-    """Wait until a cut ends."""
+    """Wait until the cut of a caller's address ends."""
     while is_cut(source):
         await asyncio.sleep(0.05)
--- a/halldoor/standins/replay.py
+++ b/halldoor/standins/replay.py
@@ -1,9 +1,9 @@
-"""Replay a load pattern in virtual time: callers, entries with the real choice, and targets.
+"""Discrete-event simulation of a load pattern: callers, entries and targets in virtual time.
 
-A pattern is data: a fleet, a rate over time and faults.  The same seed gives the same result.
-Entries decide with the product's own `Chooser` and learn from answers as the gateway does; targets
-have slots, a queue, warm keys and loads to report.  Sockets, retries by callers and the store are
-left out: a target that changes is known everywhere at once.
+A pattern is data: a fleet, a request rate over time and faults.  The same seed gives the same
+result.  Entries choose targets with the product's own `Chooser` and update its statistics from
+answers as the gateway does; targets have slots, a queue, warm keys and report their load.  Sockets,
+retries by callers and the store are left out: all entries see a changed target record at once.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
 ADDRESS = Address("127.0.0.1", 1)
 SERVICE = "deck"
 SPREAD = 0.15
-"""Work varies by so much of its mean to either side."""
+"""Largest deviation of a request's work time from its mean, as a share of the mean."""
 
 
 class Run(NamedTuple):
-    """A request that a target began to work on: when, from which region, and in which."""
+    """A request that a target started: when, the caller's region and the target's region."""
 
     at_s: float
     origin: str
@@ -57,19 +57,20 @@
 
 
 class Tally(NamedTuple):
-    """What became of the requests.
+    """Counts of the requests by outcome.
 
     Attributes
     ----------
     in_aim, late, refused : Counter of int
-        Requests by the second in which they came.
+        Requests by the second in which they arrived: answered within the route's aim, answered
+        later, and refused.
     by_hall : Counter of (str, str)
-        Requests by the callers' hall and what became of them.
+        Requests by the callers' hall and the outcome.
     counts : Counter of str
-        Requests by what became of them, answers that found the key ``cold`` or ``warm``, and
-        requests that went ``far``.
+        Requests by outcome, requests whose key was ``cold`` or ``warm`` at the target, and
+        requests answered by another region (``far``).
     runs : list of Run
-        Each request that a target worked on, in the order of the times.
+        Each request that a target started, ordered by time.
     """
 
     in_aim: Counter[int]
@@ -80,19 +81,19 @@
     runs: list[Run]
 
     def share_in_aim(self, since_s: float = 0.0, until_s: float = 1e9) -> float:
-        """Return the part of the requests of some seconds that were answered within the aim."""
+        """Return the share of requests arriving in a period that were answered within the aim."""
         seconds = [s for s in {*self.in_aim, *self.late, *self.refused} if since_s <= s < until_s]
         good = sum(self.in_aim[s] for s in seconds)
         return good / max(1, sum(self.in_aim[s] + self.late[s] + self.refused[s] for s in seconds))
 
     def share_of_hall(self, hall: str) -> float:
-        """Return the part of a hall's requests that were answered within the aim."""
+        """Return the share of a hall's requests that were answered within the aim."""
         count = sum(n for (h, _), n in self.by_hall.items() if h == hall)
         return self.by_hall[(hall, "in aim")] / max(1, count)
 
 
 class _Request(NamedTuple):
-    """A request under way."""
+    """A request that was sent to a target and is not yet answered."""
 
     key: str
     began_at: float
@@ -101,7 +102,7 @@
 
 
 class _Target:
-    """A target: slots, a queue and the keys that it has at hand."""
+    """A simulated target: slots, a queue and the keys in its cache (warm keys)."""
 
     def __init__(self, pattern: Pattern, name: str) -> None:
         self.pattern = pattern
@@ -113,7 +114,7 @@
         self.cold_until = 0.0
 
     def begin(self, key: str, now: float, source: random.Random) -> tuple[float, bool]:
-        """Begin work on a key; give its time and whether the key was at hand."""
+        """Start a request; return its work time in seconds and whether the key was warm."""
         is_warm = key in self.warm
         self.warm[key] = None
         self.warm.move_to_end(key)
@@ -129,7 +130,7 @@
 
 
 class ModelEntry:
-    """An entry: the choice, and what it learns from."""
+    """A simulated entry: the product's `Chooser` with its load, latency and outlier tables."""
 
     def __init__(self, pattern: Pattern, catalog: Catalog, name: str, hall: str) -> None:
         self.name, self.hall = name, hall
@@ -152,14 +153,14 @@
 
 
 class Replay:
-    """One play of a pattern.
+    """One simulation run of a pattern.
 
     Parameters
     ----------
     seed : int
-        Decides all that happens by chance.
+        Seed of all random draws.
     adapt : callable, optional
-        Changes each entry before the play, such as its settings.
+        Function that changes each entry before the run, such as its settings.
     """
 
     def __init__(
@@ -195,7 +196,7 @@
         self.tally = Tally(Counter(), Counter(), Counter(), Counter(), Counter(), [])
 
     def _build(self, adapt: Callable[[ModelEntry], None] | None) -> None:
-        """Build targets and entries; entries of a hall share the orders, which are alike."""
+        """Build targets and entries; entries of a hall share their equal target orders."""
         pattern = self._pattern
         for hall, load in pattern.halls.items():
             for i in range(load.targets):
@@ -226,11 +227,11 @@
                 self._weights.append(load.callers / load.entries)
 
     def _evacuate(self, evacuation: Evacuation) -> None:
-        """Take a hall out of use."""
+        """Evacuate a hall: its targets receive no new requests."""
         self._catalog.apply(EvacuationSet(evacuation.hall, True), self._now)
 
     def _take_back(self, evacuation: Evacuation) -> None:
-        """Take a hall into use again; its targets have become cold and know no key."""
+        """End the evacuation of a hall; its targets are cold and have no warm key."""
         for target in list(self._catalog.list_targets()):
             if target.record.hall == evacuation.hall:
                 model = self._targets[target.name]
@@ -241,7 +242,7 @@
         self._catalog.apply(EvacuationSet(evacuation.hall, False), self._now)
 
     def run(self) -> Tally:
-        """Play the pattern."""
+        """Run the simulation until no event is left, and return the counts."""
         self._at(self._draw_pause(), self._arrive)
         while self._events:
             self._now, _, event = heapq.heappop(self._events)
@@ -249,15 +250,15 @@
         return self.tally
 
     def _at(self, after_s: float, event: Callable[[], None]) -> None:
-        """Let something happen later."""
+        """Schedule an event after a delay in seconds."""
         heapq.heappush(self._events, (self._now + after_s, next(self._order), event))
 
     def _draw_pause(self) -> float:
-        """Draw the time to the next request."""
+        """Draw the time until the next request arrives, in seconds."""
         return self._source.expovariate(self._pattern.get_rate(self._now))
 
     def _arrive(self) -> None:
-        """Let a request arrive at an entry of its hall."""
+        """Schedule the next arrival, and send this request through a randomly drawn entry."""
         pause_s = self._draw_pause()
         if self._now + pause_s < self._pattern.length_s:
             self._at(pause_s, self._arrive)
@@ -268,7 +269,7 @@
     def _send(
         self, entry: ModelEntry, key: str, began_at: float, *, tried: tuple[str, ...]
     ) -> None:
-        """Choose a target and send, or refuse."""
+        """Choose a target and send the request to it, or count the request as refused."""
         choice = entry.chooser.choose(self._route, SERVICE, key, self._now, tried=tried)
         if isinstance(choice, NoTarget) or len(tried) >= self._route.max_attempts:
             self._end(entry, began_at, "refused")
@@ -279,7 +280,7 @@
         self._at(choice.estimate.travel_s / 2, lambda: self._reach(request, tried))
 
     def _reach(self, request: _Request, tried: tuple[str, ...]) -> None:
-        """Let a request reach its target."""
+        """Start a request that reaches its target, queue it, or fail over if the queue is full."""
         target = self._targets[request.choice.target.name]
         if target.running < self._pattern.slots:
             self._work(target, request)
@@ -292,7 +293,7 @@
             self._send(entry, request.key, request.began_at, tried=(*tried, target.name))
 
     def _work(self, target: _Target, request: _Request) -> None:
-        """Let a target work on a request."""
+        """Start a request on a free slot of a target, and schedule its answer."""
         target.running += 1
         work_s, is_warm = target.begin(request.key, self._now, self._source)
         self.tally.counts["warm" if is_warm else "cold"] += 1
@@ -301,7 +302,7 @@
         self._at(work_s, lambda: self._answer(target, request))
 
     def _answer(self, target: _Target, request: _Request) -> None:
-        """Let a target answer, and begin the next request."""
+        """Send the answer of a target, and start the next request of its queue."""
         report = LoadReport(target.running, len(target.waiting), self._pattern.slots)
         target.running -= 1
         self._at(request.choice.estimate.travel_s / 2, lambda: self._learn(request, report))
@@ -309,7 +310,7 @@
             self._work(target, target.waiting.popleft())
 
     def _learn(self, request: _Request, report: LoadReport) -> None:
-        """Let the entry learn from an answer, as the gateway does."""
+        """Update the entry's statistics from an answer as the gateway does; count the request."""
         entry, choice = request.entry, request.choice
         name, hall = choice.target.name, choice.target.record.hall
         took_s = self._now - request.began_at
@@ -323,7 +324,7 @@
         self._end(entry, request.began_at, "in aim" if took_s <= self._pattern.aim_s else "late")
 
     def _share(self, request: _Request, report: LoadReport, took_s: float) -> None:
-        """Let the other entries of the hall know of an answer."""
+        """Record an answer at the other entries of the hall, as observation messages do."""
         for entry in self.entries:
             if entry is not request.entry and entry.hall == request.entry.hall:
                 self._take_answer(entry, request, report, took_s)
@@ -331,7 +332,7 @@
     def _take_answer(
         self, entry: ModelEntry, request: _Request, report: LoadReport, took_s: float
     ) -> None:
-        """Let an entry know of a target's load, work and warm key."""
+        """Record a target's reported load, response time and warm key at an entry."""
         target, estimate = request.choice.target, request.choice.estimate
         own = entry.chooser.in_flight[target.name]
         entry.loads.add(target.name, report, self._now, own=own, service=SERVICE)
@@ -345,7 +346,7 @@
         )
 
     def _end(self, entry: ModelEntry, began_at: float, outcome: str) -> None:
-        """Count a request."""
+        """Count a finished request by its outcome."""
         by_second = {
             "in aim": self.tally.in_aim,
             "late": self.tally.late,
--- a/halldoor/standins/restways.py
+++ b/halldoor/standins/restways.py
@@ -1,7 +1,7 @@
-"""Ways to honour the rest that a target asks for, and to return after it, in virtual time.
+"""Strategies for honouring a target's back-off and for sending again after it.
 
-A model for measurements, on the runs of `ratefleet`: for a while the target turns every request
-away and asks each entry that sent it one for a rest.
+For measurements in virtual time, on the runs of `ratefleet`: for a while the target refuses every
+request and asks the entry that sent it for a back-off.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 from halldoor.standins.ratefleet import TARGET, RateWay, Run, list_receivers
 
 ANSWER_S = 0.02
-"""Time from a request to the answer that turns it away, in seconds."""
+"""Time from a request to its refusal, in seconds."""
 WORK_S = 0.15
-"""Time from a request to a sound answer, in seconds."""
+"""Time from a request to a successful answer, in seconds."""
 PERIOD_S = 0.25
 """Time between two messages of an entry, in seconds."""
 SLOTS = 6
-"""Requests that the target works on at a time."""
+"""Requests that the target runs at a time."""
 GRACE_S = 0.5
-"""Time after an answer in which requests that were under way may still arrive, in seconds."""
+"""Time after a refusal in which requests sent before it may still arrive, in seconds."""
 
 
 class Need(NamedTuple):
-    """When a target turns requests away, and whose.
+    """Time in which a target refuses requests, and the entries that it refuses.
 
     Attributes
     ----------
     from_s, to_s : float
-        When it does so, in seconds of a run.
+        Start and end of the refusals, in seconds from the start of the run.
     rest_s : float
-        The rest that it asks for, in seconds.
+        Length of the back-off that it asks for, in seconds.
     only_first : bool
-        It turns one entry away, and serves the others.
+        It refuses the first entry only, and serves the others.
     """
 
     from_s: float = 3.0
@@ -46,21 +46,21 @@
 
 
 class OwnRests(RateWay):
-    """An entry rests for as long as the target asked it to, and then sends as before."""
+    """Each entry backs off for the time it was asked to, and then sends as before."""
 
     SPREAD = 0.0
-    """Part of the time that callers are told by which it differs, towards later."""
+    """Largest share by which a caller's retry time is randomly extended."""
 
     def __init__(self, need: Need) -> None:
         self.need = need
         self.turned_away: list[tuple[float, int]] = []
 
     def restart(self, now: float) -> None:
-        """Begin with nothing known."""
+        """Reset the back-offs of all entries."""
         self.until = [0.0] * len(self.run.names)
 
     def take(self, now: float, entry: int) -> bool:
-        """Send the request unless the target wants none; its caller comes back when told to."""
+        """Send a request, or give its caller a retry time if the entry backs off."""
         if self._try(now, entry):
             return True
         left_s = self.until[entry] - now
@@ -70,12 +70,12 @@
         return False
 
     def _come_back(self, now: float, entry: int) -> None:
-        """Ask once more; a caller that finds no room then goes elsewhere."""
+        """Retry a request once; if it is refused again, the caller gives up."""
         if self._try(now, entry):
             self.run.sent.append((now, entry))
 
     def _try(self, now: float, entry: int) -> bool:
-        """Send a request unless the target wants none."""
+        """Send a request unless the entry backs off; schedule its answer."""
         if now < self.until[entry] or not self.may_return(now, entry):
             return False
         self.count(now, entry)
@@ -88,25 +88,25 @@
         return True
 
     def _read(self, now: float, entry: int) -> None:
-        """Read an answer that turns a request away."""
+        """Receive a refusal, and start or extend the entry's back-off."""
         self.until[entry] = max(self.until[entry], now + self.need.rest_s)
         self.notify(now, entry)
 
     def notify(self, now: float, entry: int) -> None:
-        """Notify others: here nobody."""
+        """Notify other entries of the back-off; this strategy notifies none."""
 
     def read_sound(self, now: float, entry: int) -> None:
-        """Read a sound answer."""
+        """Receive a successful answer."""
 
     def may_return(self, now: float, entry: int) -> bool:
-        """Whether the way back allows a request."""
+        """Check whether the strategy allows a request after the back-off."""
         return True
 
     def count(self, now: float, entry: int) -> None:
-        """Count a request that is sent."""
+        """Record a sent request."""
 
     def find_most_in_rest(self) -> int:
-        """Return the most requests of one entry within a rest that it was asked for."""
+        """Return the largest number of requests that one entry sent during one of its back-offs."""
         worst = 0
         for at, entry in self.turned_away:
             begin, end = at + ANSWER_S + GRACE_S, at + ANSWER_S + self.need.rest_s
@@ -115,73 +115,73 @@
 
 
 class NotifiedRests(OwnRests):
-    """Entries notify each other, and all rest."""
+    """Entries notify each other of back-offs, and every notified entry backs off."""
 
     def start(self, run: Run) -> None:
-        """Begin a run."""
+        """Initialize the strategy's state, and choose the receivers of each entry."""
         super().start(run)
         self._receivers = list_receivers(run.names)
 
     def notify(self, now: float, entry: int) -> None:
-        """Send a notice to those that this entry notifies."""
+        """Schedule a notice to the entry's receivers within a message period."""
         self.run.at(now + self.run.random.uniform(0.0, PERIOD_S), self._send, entry)
 
     def _send(self, now: float, entry: int) -> None:
-        """Send one message to each of them."""
+        """Send the end of the back-off to each receiver."""
         for to in self._receivers[entry]:
             self.run.send(now, entry, to, self._hear, self.until[entry])
 
     def _hear(self, now: float, entry: int, until: float) -> None:
-        """Receive a notice."""
+        """Receive a notice, and extend the entry's back-off."""
         self.until[entry] = max(self.until[entry], until)
 
 
 class SpreadCallers(OwnRests):
-    """Callers are told to come back at different times, none before the rest ends."""
+    """Callers are given different retry times, none before the end of the back-off."""
 
     SPREAD = 0.5
 
 
 class SingleTrials(SpreadCallers):
-    """After a rest one request at a time, until one is answered soundly."""
+    """After a back-off each entry sends one request at a time until one succeeds."""
 
     def restart(self, now: float) -> None:
-        """Begin with nothing known."""
+        """Reset the back-offs of all entries."""
         super().restart(now)
         self._on_trial = [False] * len(self.run.names)
         self._in_flight: Counter[int] = Counter()
 
     def _read(self, now: float, entry: int) -> None:
-        """Read an answer that turns a request away."""
+        """Receive a refusal, and start or extend the entry's back-off."""
         super()._read(now, entry)
         self._on_trial[entry] = True
         self._in_flight[entry] -= 1
 
     def read_sound(self, now: float, entry: int) -> None:
-        """Read a sound answer."""
+        """Receive a successful answer."""
         self._on_trial[entry] = False
         self._in_flight[entry] -= 1
 
     def may_return(self, now: float, entry: int) -> bool:
-        """Whether the way back allows a request."""
+        """Check whether the strategy allows a request after the back-off."""
         return not (self._on_trial[entry] and self._in_flight[entry] > 0)
 
     def count(self, now: float, entry: int) -> None:
-        """Count a request that is sent."""
+        """Record a sent request."""
         self._in_flight[entry] += 1
 
     def count_in_flight(self, entry: int) -> int:
-        """Count an entry's requests that are not answered."""
+        """Return the number of an entry's unanswered requests."""
         return self._in_flight[entry]
 
 
 class SlowStart(SingleTrials):
-    """After a rest one request at a time for a second, then two, then four."""
+    """After a back-off an entry has one request in flight for a second, then two, then four."""
 
     DOUBLINGS = 3
 
     def may_return(self, now: float, entry: int) -> bool:
-        """Whether the way back allows a request."""
+        """Check whether the strategy allows a request after the back-off."""
         doublings = now - self.until[entry] if self.until[entry] else math.inf
         if doublings < self.DOUBLINGS and self.count_in_flight(entry) >= int(2**doublings):
             return False
@@ -189,20 +189,20 @@
 
 
 class DoublingShares(SingleTrials):
-    """The same, and for a time each entry has its share of a rate that doubles each second."""
+    """Single trials, and for `DOUBLINGS` seconds a share of a rate that doubles each second."""
 
     FROM_PER_S = float(SLOTS)
     DOUBLINGS = 3
 
     def restart(self, now: float) -> None:
-        """Begin with nothing known."""
+        """Reset the back-offs of all entries."""
         super().restart(now)
         self._shares = [RateShare(window_s=1.0) for _ in self.run.names]
         order = rank(TARGET, self.run.names)
         self._ranks = [order.index(name) for name in self.run.names]
 
     def may_return(self, now: float, entry: int) -> bool:
-        """Whether the way back allows a request."""
+        """Check whether the strategy allows a request after the back-off."""
         doublings = now - self.until[entry] if self.until[entry] else math.inf
         if doublings < self.DOUBLINGS:
             limit = int(self.FROM_PER_S * 2**doublings)
@@ -213,6 +213,6 @@
         return super().may_return(now, entry)
 
     def count(self, now: float, entry: int) -> None:
-        """Count a request that is sent."""
+        """Record a sent request."""
         super().count(now, entry)
         self._shares[entry].add(TARGET, now)
--- a/halldoor/standins/sample.py
+++ b/halldoor/standins/sample.py
@@ -1,4 +1,4 @@
-"""A sample configuration on free ports, for demo, tests and benchmarks."""
+"""Sample configuration on free ports, for the demo, tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 def _build_loopback_ip(process_id: int) -> str:
-    """Build a loopback address of a process's own, so that its ports are nobody else's.
+    """Return a loopback address unique to a process, so that processes never share a port.
 
-    Two test runs side by side that shared one address got the same port now and then: a port
-    is found free long before the process that it is for opens it.  Process ids have 22 bits;
-    they fill 127.64.0.0 to 127.127.255.255, which no relay or cut of a fleet names.
+    Concurrent test runs that shared one address sometimes got the same port, since a port is
+    found free long before the process that it is for opens it.  Process ids have 22 bits; they
+    map to 127.64.0.0 to 127.127.255.255, which no relay or cut of a fleet uses.
     """
     high, low = divmod(process_id % (1 << 22), 1 << 8)
     return f"127.{64 + (high >> 8)}.{high & 255}.{low}"
 
 
 IP = _build_loopback_ip(os.getpid())
-"""Loopback address on which this process lets others listen."""
+"""Loopback address on which the processes that this one starts listen."""
 _given: set[int] = set()
 
 
 def find_ports(count: int) -> list[int]:
-    """Let the kernel choose free ports, none of them twice in this process.
+    """Return free ports chosen by the kernel, none of them twice in this process.
 
-    They are on an address that no connection goes out from: on 127.0.0.1 a port that
-    was found free is now and then taken by somebody's connection before it is used.
+    The ports are on `IP`, which no outgoing connection uses: on 127.0.0.1 an outgoing connection
+    sometimes occupied a port that was found free before it was opened.
     """
     with contextlib.ExitStack() as stack:
         ports: list[int] = []
@@ -43,7 +43,7 @@
 
 
 def find_port_pair() -> tuple[int, int]:
-    """Find two free ports in a row, for settings that name a range of ports."""
+    """Return two consecutive free ports, for settings that name a range of ports."""
     while True:
         (first,) = find_ports(1)
         with contextlib.suppress(OSError), socket.create_server((IP, first + 1)):
@@ -55,7 +55,7 @@
 def _make_operation(
     name: str, method: str, deadline_s: float, *, repeatable: bool
 ) -> dict[str, Any]:
-    """Make an operation at a path of its name."""
+    """Build an operation whose path is its name."""
     return {
         "name": name,
         "methods": [method],
@@ -66,12 +66,12 @@
 
 
 def _make_address(ports: Iterator[int]) -> dict[str, Any]:
-    """Make an address at the next free port."""
+    """Build an address with the next free port."""
     return {"ip": IP, "port": next(ports)}
 
 
 def _make_hall(name: str, entries: int, ports: Iterator[int]) -> dict[str, Any]:
-    """Make a hall with its entries; its region is the first letter of its name."""
+    """Build a hall with its entries; its region is the first letter of its name."""
     return {
         "name": name,
         "region": name[0],
@@ -83,7 +83,7 @@
 
 
 def _make_links(halls: list[str]) -> list[dict[str, Any]]:
-    """Make links between all halls, short ones inside a region."""
+    """Build links between all halls: 1 ms within a region and 12 ms between regions."""
     return [
         {"origin": a, "destination": b, "latency_ms": 1 if a[0] == b[0] else 12}
         for a in halls
@@ -95,18 +95,18 @@
 def make_configuration(
     *, halls: dict[str, int], targets: int = 2, slots: int = 6, deadline_s: float = 3.0
 ) -> dict[str, Any]:
-    """Make a configuration with one service for reads, orders and uploads.
+    """Build a configuration with one service for reads, orders and uploads.
 
     Parameters
     ----------
     halls : dict of str to int
-        Number of entries by hall; a hall ``a2`` stands in region ``a``.
+        Number of entries by hall; a hall ``a2`` is in region ``a``.
     targets : int, optional
         Targets in each hall.
     slots : int, optional
         Slots of each target.
     deadline_s : float, optional
-        Deadline of every operation.
+        Deadline of every operation, in seconds.
     """
     ports = iter(find_ports(sum(halls.values()) * 2 + len(halls) * targets))
 
--- a/halldoor/standins/scripted.py
+++ b/halldoor/standins/scripted.py
@@ -1,4 +1,4 @@
-"""A stand-in of a target whose every answer a test can script, byte by byte."""
+"""Stand-in for a target whose answers a test scripts byte by byte."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Received(NamedTuple):
-    """A request as the target read it."""
+    """A request as the target read it, with the number of its connection."""
 
     method: bytes
     target: bytes
@@ -27,14 +27,14 @@
 
 
 class ScriptedTarget:
-    """A target that keeps what it received and answers by a script.
+    """A target that records its requests and answers each one with a script.
 
     Parameters
     ----------
     incarnation : str
-        Name that it expects in requests.
+        Incarnation that it expects in requests.
     names : HeaderNames
-        Header names.
+        Names of the headers between gateway and target.
     """
 
     def __init__(self, incarnation: str, names: HeaderNames) -> None:
@@ -50,19 +50,19 @@
         self.address = Address("127.0.0.1", 0)
 
     async def start(self) -> None:
-        """Open a port that the kernel chooses."""
+        """Listen on the port in ``address``; the kernel chooses one if it is 0."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.address.port)
         self.address = Address("127.0.0.1", self._server.sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
-        """Close the port and all connections."""
+        """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read requests and run the script for each."""
+        """Read the requests of a connection, and run the script for each."""
         self._connections += 1
         number = self._connections
         self._writers.add(writer)
@@ -74,7 +74,7 @@
                     break
                 if parser.their_state is not h11.DONE:
                     break
-                # The script writes raw bytes: tell the parser that an answer went out.
+                # The script writes raw bytes, so the parser must be informed of an answer.
                 parser.send(h11.Response(status_code=200, headers=[("Content-Length", "0")]))
                 parser.send(h11.EndOfMessage())
                 parser.start_next_cycle()
@@ -84,7 +84,7 @@
     async def _run_script(
         self, request: Received, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer one request; False where the caller went away meanwhile."""
+        """Run the script for a request; return False if the caller disconnects before its end."""
         script = asyncio.ensure_future(self.script(request, writer))
         while not script.done():
             await asyncio.wait([script], timeout=0.01)
@@ -98,7 +98,7 @@
     async def _read(
         self, reader: asyncio.StreamReader, parser: h11.Connection, number: int
     ) -> Received | None:
-        """Read one request, whole or only its head."""
+        """Read one request, whole or only its head if ``read_body`` is false."""
         head: h11.Request | None = None
         body = b""
         while True:
@@ -120,8 +120,6 @@
         assert head is not None
         return Received(head.method, head.target, list(head.headers.raw_items()), body, number)
 
-    # Scripts
-
     def build(
         self,
         request: Received,
@@ -145,7 +143,7 @@
         return b"\r\n".join(lines) + (b"" if request.method == b"HEAD" else body)
 
     async def answer(self, request: Received, writer: asyncio.StreamWriter) -> None:
-        """Answer soundly at once; another incarnation's requests are turned away."""
+        """Answer successfully at once; answer 421 if another incarnation is expected."""
         expected = find(request.headers, self.names.expected_incarnation).decode()
         if expected and expected != self.incarnation:
             writer.write(self.build(request, status=b"421 Misdirected Request", is_signed=False))
@@ -153,7 +151,7 @@
         writer.write(self.build(request, body=b"echo:" + request.body))
 
     async def shed(self, request: Received, writer: asyncio.StreamWriter) -> None:
-        """Turn the request away."""
+        """Refuse the request with the header which states that it did not run."""
         extra = [(self.names.not_run, b"1")]
         writer.write(self.build(request, status=b"503 Full", body=b"", extra=extra))
 
@@ -162,23 +160,23 @@
         await asyncio.sleep(3600)
 
     async def reset(self, request: Received, writer: asyncio.StreamWriter) -> None:
-        """Run the request and lose the answer."""
+        """Abort the connection without an answer."""
         writer.transport.abort()
 
     async def answer_unframed(self, request: Received, writer: asyncio.StreamWriter) -> None:
-        """Answer without a length; the end of the connection ends the answer."""
+        """Answer without a length, and end the answer by closing the connection."""
         writer.write(self.build(request, body=b"unframed", has_length=False))
         writer.write_eof()
         await asyncio.sleep(0.05)
         raise ConnectionResetError
 
     async def break_off(self, request: Received, writer: asyncio.StreamWriter) -> None:
-        """Break off in the middle of the answer."""
+        """Abort the connection in the middle of the answer."""
         writer.write(self.build(request, body=b"x" * 1000)[:-400])
         await asyncio.sleep(0.02)
         writer.transport.abort()
 
     async def answer_another(self, request: Received, writer: asyncio.StreamWriter) -> None:
-        """Answer with a surplus answer of another request first."""
+        """Send an answer of another request before the request's own answer."""
         writer.write(self.build(request, body=b"stale", attempt_id=b"another"))
         writer.write(self.build(request, body=b"own"))
--- a/halldoor/standins/soak.py
+++ b/halldoor/standins/soak.py
@@ -1,4 +1,4 @@
-"""A long randomised run: real processes, faults of every kind, invariants on."""
+"""Soak test: real processes under random requests and faults, with invariant checks."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class Soak:
-    """Callers, faults and judges of one run.
+    """Callers, faults and checks of one run.
 
     Parameters
     ----------
     fleet : Fleet
-        A fleet with relays, everything up.
+        A fleet with relays, all processes started.
     seed : int
-        Decides callers' choices and faults.
+        Seed of the callers' choices and the faults.
     """
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
@@ -45,15 +45,13 @@
         self.violations: list[str] = []
         self._lock = threading.Lock()
         self._is_over = threading.Event()
-        # What callers were told of each operation id.
+        # Answers in `Halldoor-Ran` that callers received, by operation id.
         self._told: dict[str, set[str]] = {}
         self.names = [e["name"] for h in fleet.configuration["halls"] for e in h["entries"]]
         self.targets = [t["name"] for t in fleet.configuration["targets"]]
 
-    # Callers
-
     def run_caller(self, number: int) -> None:
-        """Send requests of every kind until the end."""
+        """Send random requests of every kind until the run is over."""
         rng = random.Random(f"{self.random.random()}-{number}")
         kinds = [self._read, self._read, self._order, self._order_by_id, self._upload]
         while not self._is_over.is_set():
@@ -62,7 +60,7 @@
             time.sleep(rng.uniform(0, 0.05))
 
     def _call(self, entry: str, path: str, kind: str, **options: Any) -> Any:
-        """Send one request and count what came."""
+        """Send one request, and count its outcome."""
         try:
             response = self.fleet.call(entry, path, **options)
         except Exception:
@@ -78,12 +76,12 @@
             self.outcomes[what] += 1
 
     def violate(self, what: str) -> None:
-        """Note a broken promise."""
+        """Record a violation of an invariant."""
         with self._lock:
             self.violations.append(what)
 
     def _read(self, rng: random.Random) -> None:
-        """Read something and compare it."""
+        """Send a read, and check the body of the answer."""
         seed, size = f"r{rng.random()}", rng.choice([10, 5_000, 300_000])
         path = f"{SERVICE}/read/x?size={size}&seed={seed}&work_s={rng.choice([0, 0.02, 0.2])}"
         response = self._call(rng.choice(self.names), path, "read")
@@ -91,7 +89,7 @@
             self.violate(f"read {seed}: another answer of {len(response.data)} bytes")
 
     def _upload(self, rng: random.Random) -> None:
-        """Upload something and compare what arrived."""
+        """Send an upload, and check the digest of the body that arrived."""
         body = rng.randbytes(rng.choice([10, 100_000, 600_000]))
         response = self._call(
             rng.choice(self.names), f"{SERVICE}/upload", "upload", method="PUT", body=body
@@ -102,20 +100,20 @@
                 self.violate("upload: another body arrived")
 
     def _order(self, rng: random.Random) -> None:
-        """Order by ticket, through one or several entries."""
+        """Send an order with a ticket through one or several entries."""
         ticket = self.fleet.get_ticket(rng.choice(self.names))
         read = decode_ticket(ticket)
         if read is not None:
             self._send_order(rng, read[0].operation, {"Halldoor-Ticket": ticket})
 
     def _order_by_id(self, rng: random.Random) -> None:
-        """Order by own id without a ticket, as a reloaded screen does."""
+        """Send an order with the caller's operation id and no ticket, as a reloaded page does."""
         value = (int(time.time() * 1000) << 80) | (7 << 76) | (2 << 62) | rng.getrandbits(61)
         operation = str(uuid.UUID(int=value))
         self._send_order(rng, operation, {"Operation-Id": operation})
 
     def _send_order(self, rng: random.Random, operation: str, headers: dict[str, str]) -> None:
-        """Send an order up to three times and note what was told."""
+        """Send an order one to three times, and record whether each answer says that it ran."""
         path = f"{SERVICE}/order?work_s={rng.choice([0, 0.02, 0.3])}"
         for _ in range(rng.randint(1, 3)):
             with contextlib.suppress(Exception):
@@ -131,10 +129,8 @@
                     told = self._told.setdefault(operation, set())
                     told.add(response.headers.get("Halldoor-Ran", ""))
 
-    # Faults
-
     def run_faults(self, minutes: float) -> None:
-        """Bring about one fault after another, sometimes two at once, until the end."""
+        """Inject random faults one after another, sometimes two at once, for some minutes."""
         faults = [
             self._kill,
             self._freeze,
@@ -161,15 +157,16 @@
         self._is_over.set()
 
     def _bring(self, fault: Any) -> None:
-        """Bring about one fault and count it."""
+        """Inject one fault, and count it by its function's name."""
         with self._lock:
             self.faults[fault.__name__.strip("_")] += 1
         try:
             fault()
         except Exception as exc:
-            self._count(f"fault not brought about: {type(exc).__name__}")
+            self._count(f"fault not injected: {type(exc).__name__}")
 
     def _kill(self) -> None:
+        """Kill an entry, and restart it up to 3 s later."""
         name = self.random.choice(self.names)
         self.fleet.kill(name)
         time.sleep(self.random.uniform(0, 3))
@@ -177,33 +174,39 @@
         self.fleet.wait_ready(name)
 
     def _stop(self) -> None:
+        """Stop an entry gracefully, and restart it."""
         name = self.random.choice(self.names)
         self.fleet.stop(name, limit_s=90)
         self.fleet.restart_entry(name)
         self.fleet.wait_ready(name)
 
     def _freeze(self) -> None:
+        """Suspend an entry for up to three deadlines."""
         name = self.random.choice(self.names)
         self.fleet.signal(name, signal.SIGSTOP)
         time.sleep(self.random.uniform(0.5, DEADLINE_S * 3))
         self.fleet.signal(name, signal.SIGCONT)
 
     def _cut_halls(self) -> None:
+        """Cut the traffic between the first two halls."""
         self.fleet.cut("127.0.1.", "127.0.2.")
         time.sleep(self.random.uniform(1, 4))
         self.fleet.heal()
 
     def _cut_inside(self) -> None:
+        """Cut the traffic between the two entries of the first hall."""
         self.fleet.cut("127.0.1.1", "127.0.1.2")
         time.sleep(self.random.uniform(1, 4))
         self.fleet.heal()
 
     def _cut_platform(self) -> None:
+        """Cut the first hall off from the platform."""
         self.fleet.cut("127.0.1.", "127.0.0.")
         time.sleep(self.random.uniform(1, 4))
         self.fleet.heal()
 
     def _platform(self) -> None:
+        """Make the platform fail, answer slowly or answer invalid bytes."""
         faults: list[dict[str, Any]] = [{"down": True}, {"slow_s": 0.4}, {"rubbish": True}]
         fault = self.random.choice(faults)
         self.fleet.set_faults(**fault)
@@ -211,11 +214,13 @@
         self.fleet.set_faults()
 
     def _lose_answers(self) -> None:
+        """Lose the platform's answers to a few writes."""
         self.fleet.set_faults(lose_answers=self.random.randint(1, 5))
         time.sleep(1)
         self.fleet.set_faults()
 
     def _targets(self) -> None:
+        """Give a target a random fault for a while."""
         name = self.random.choice(self.targets)
         behaviours: list[dict[str, Any]] = [
             {"shed_share": 0.5},
@@ -233,7 +238,7 @@
         self._calm(name)
 
     def _calm(self, name: str) -> None:
-        """Let a target behave again."""
+        """Reset a target's behaviour to the one without faults."""
         self.fleet.control(
             name,
             shed_share=0.0,
@@ -248,6 +253,7 @@
         )
 
     def _lose_hall(self) -> None:
+        """Kill both entries of the first hall, and restart them."""
         lost = self.names[:2]
         for name in lost:
             self.fleet.kill(name)
@@ -257,6 +263,7 @@
         self.fleet.wait_ready(*lost)
 
     def _drain(self) -> None:
+        """Drain a target, check that it receives no new requests, and undo the drain."""
         name = self.random.choice(self.targets)
         self.fleet.run_cli("drain", name)
         time.sleep(4.0)
@@ -267,7 +274,7 @@
         self.fleet.run_cli("drain", name, "--back")
 
     def _is_seen_leaving(self, name: str) -> bool:
-        """Check whether the change was accepted and every entry is up and not cut off."""
+        """Check whether both entries of a target's hall see it leaving and no cut is active."""
         answer = self.fleet.run_cli("status", "--output", "json")
         if answer.returncode or self.fleet.cuts:
             return False
@@ -277,18 +284,17 @@
         return len(mine) == 2 and all(e["targets"][name]["leaving"] for e in mine)
 
     def _count_arrivals(self, name: str) -> int:
-        """Count all that a target ever answered."""
+        """Return the number of requests that a target has answered."""
         stats = self.fleet.get_json(name, "/stats")
         return int(stats["outcomes"].get("answered", 0))
 
     def _step_shift(self) -> None:
+        """Start the traffic shift at a random position."""
         position = self.random.choice(["0.05", "0.1", "0.2"])
         self.fleet.run_cli("shift", "start", "to-b", "--position", position)
 
-    # Judges
-
     def judge(self) -> None:
-        """Compare what targets counted with what callers were told and operators set."""
+        """Check the targets' counts against the callers' answers and the slots; check the logs."""
         time.sleep(DEADLINE_S * 2)
         runs: Counter[str] = Counter()
         for name in self.targets:
@@ -301,7 +307,7 @@
                 self.violate(f"operation {operation} ran {count} times")
         for operation, told in self._told.items():
             if "not run" in told and runs[operation]:
-                self.violate(f"operation {operation} ran, and was told as not run: {told}")
+                self.violate(f"operation {operation} ran, but was reported as not run: {told}")
         for name in self.names:
             for line in self.fleet.read_log(name).splitlines():
                 if "Invariant broken" in line or "InvariantError" in line:
@@ -309,14 +315,14 @@
 
 
 def run(*, seed: int = 1, minutes: float = 10.0) -> None:
-    """Run callers and faults, judge, and exit with 1 on any violation.
+    """Run callers and faults, check the results, and exit with 1 on any violation.
 
     Parameters
     ----------
     seed
-        Decides callers' choices and faults.
+        Seed of the callers' choices and the faults.
     minutes
-        Length of the run.
+        Length of the run, in minutes.
     """
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 2, "a2": 2, "b1": 2}, deadline_s=DEADLINE_S)
@@ -347,20 +353,20 @@
 
 
 def _print(soak: Soak, seed: int, minutes: float) -> None:
-    """Print what happened."""
+    """Print the faults, outcomes and violations of a run."""
     print(f"seed {seed}, {minutes} minutes")
     print("faults:", ", ".join(f"{n} {k}" for k, n in sorted(soak.faults.items())))
     print("outcomes:")
     for outcome, count in sorted(soak.outcomes.items()):
         print(f"  {outcome}: {count}")
-    print(f"operations told of: {len(soak._told)}")
+    print(f"operations with an answer: {len(soak._told)}")
     print(f"violations: {len(soak.violations)}")
     for violation in soak.violations[:20]:
         print(f"  {violation}")
 
 
 def main() -> None:
-    """Start the program."""
+    """Run the command line."""
     defopt.run(run)
 
 
--- a/halldoor/standins/storefaults.py
+++ b/halldoor/standins/storefaults.py
@@ -1,4 +1,4 @@
-"""Faults of entries and of their store, drawn at random around a moment."""
+"""Faults of simulated entries and their store, scheduled at random around a given moment."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 SPAN_S = 2.0
 """Time for which most faults last, in seconds."""
 SLOW_STORE = 60.0
-"""Factor of the store's time for a call while it is slow."""
+"""Factor by which a slow store's processing time for a call grows."""
 REFUSED = 1 / 3
-"""Share of the calls that a throttling store turns away."""
+"""Share of the calls that a throttling store refuses."""
 GAP_S = 1.0
-"""Time for which watches hear nothing before the history is dropped, in seconds."""
+"""Time for which watches receive no changes before the history is dropped, in seconds."""
 SLOW_ENTRY_S = 0.3
-"""Time until a slow entry turns to what arrives, in seconds."""
+"""Delay before a slow entry processes a message that arrived, in seconds."""
 LOSS = 0.3
-"""Share of the messages that a hall on a bad link loses."""
+"""Share of the messages of a hall's entries that are lost on a bad link."""
 DEAD_CONNECTION_S = 2.0
-"""Time until an idle connection is found dead, in seconds; see `HttpConnection`."""
+"""Time until an idle connection is detected as dead, in seconds; see `HttpConnection`."""
 ENTRIES_PER_VICTIM = 8
 
 
 class Scene(NamedTuple):
-    """What a fault acts on.
+    """What a fault needs: the fleet, the random source and the record of affected entries.
 
     Attributes
     ----------
     victims : set of int
-        Ports of entries that have a fault of their own; faults add theirs.
+        Ports of the entries that a fault affects directly; each fault adds its own.
     """
 
     fleet: StoreFleet
@@ -41,25 +41,25 @@
 
 
 class Fault(NamedTuple):
-    """A fault, and when it begins before the moment that matters, in seconds."""
+    """A fault, and the range of times before the measured moment at which it starts, in seconds."""
 
     begin: Callable[[Scene], None]
     earliest_s: float
     latest_s: float
 
     def schedule(self, scene: Scene, moment: float) -> None:
-        """Let the fault begin before a moment of the loop's clock."""
+        """Schedule the fault at a random time before a moment of the event loop's clock."""
         at = moment - scene.random.uniform(self.latest_s, self.earliest_s)
         asyncio.get_running_loop().call_at(at, self.begin, scene)
 
 
 def _later(after_s: float, callback: Callable[..., object], *args: object) -> None:
-    """Call back after a time."""
+    """Schedule a callback after a delay in seconds."""
     asyncio.get_running_loop().call_later(after_s, callback, *args)
 
 
 def _set_for(subjects: Iterable[object], attribute: str, value: object, for_s: float) -> None:
-    """Set an attribute of some objects for a time."""
+    """Set an attribute of some objects, and restore it after ``for_s`` seconds."""
     for subject in subjects:
         before = getattr(subject, attribute)
         setattr(subject, attribute, value)
@@ -67,7 +67,7 @@
 
 
 def _draw(scene: Scene, *, are_victims: bool = True) -> list[int]:
-    """Draw entries, a reader for others among them where there is one."""
+    """Choose entries at random, with up to two readers among them, and return their ports."""
     ports = sorted(scene.fleet.entries)
     readers = scene.fleet.list_readers()
     count = max(1, len(ports) // ENTRIES_PER_VICTIM)
@@ -79,34 +79,34 @@
 
 
 def _change_another_target(scene: Scene) -> None:
-    """Write a record that has nothing to do with the moment: entries pause after it."""
+    """Write an unrelated target record: entries pause after reading a change."""
     fleet = scene.fleet
     fleet.write_target(fleet.targets - 1, "h0", slots=scene.random.randrange(7, 10_000))
 
 
 def _slow_store(scene: Scene) -> None:
-    """Let every call take the store longer."""
+    """Slow the store down for every call."""
     _set_for([scene.fleet.server], "slowness", SLOW_STORE, 3 * SPAN_S)
 
 
 def _throttle_store(scene: Scene) -> None:
-    """Let the store turn some calls away."""
+    """Refuse a share of the calls to the store."""
     _set_for([scene.fleet.server], "refused", REFUSED, 3 * SPAN_S)
 
 
 def _open_gap(scene: Scene) -> None:
-    """Let watches hear nothing until the history is dropped and they are cut."""
+    """Withhold changes from watches, then fail the watches and drop the history."""
     scene.fleet.store.open_gap()
     _later(GAP_S, scene.fleet.store.close_gap)
 
 
 def _drop_history(scene: Scene) -> None:
-    """Drop the history, and cut all watches."""
+    """Drop the store's history, and fail all watches."""
     scene.fleet.store.close_gap()
 
 
 def _slow_entries(scene: Scene) -> None:
-    """Slow some entries down."""
+    """Delay the processing of messages at some entries."""
     nodes = [scene.fleet.nodes[port] for port in _draw(scene)]
     _set_for(nodes, "slow_s", SLOW_ENTRY_S, 3 * SPAN_S)
 
@@ -118,19 +118,19 @@
 
 
 def _isolate_entries(scene: Scene) -> None:
-    """Cut some entries off from all."""
+    """Isolate some entries from the store and from all other entries."""
     nodes = [scene.fleet.nodes[port] for port in _draw(scene)]
     _set_for(nodes, "is_isolated", True, SPAN_S)
 
 
 def _cut_from_store(scene: Scene) -> None:
-    """Cut some entries off from the store alone."""
+    """Block the traffic between some entries and the store only."""
     links = [scene.fleet.entries[port].link for port in _draw(scene)]
     _set_for(links, "is_silent", True, SPAN_S)
 
 
 def _lose_messages(scene: Scene) -> None:
-    """Let one hall lose messages."""
+    """Lose a share of the messages from and to the entries of one hall."""
     entries = scene.fleet.entries
     hall = scene.random.choice(sorted({entry.node.place.hall for entry in entries.values()}))
     ports = [port for port, entry in entries.items() if entry.node.place.hall == hall]
@@ -139,31 +139,31 @@
 
 
 def _kill_entries(scene: Scene) -> None:
-    """Kill some entries, and start them a while later."""
+    """Kill some entries, and restart them after `SPAN_S`."""
     for port in _draw(scene):
         scene.fleet.entries[port].stop()
         _later(SPAN_S, scene.fleet.replace, port)
 
 
 def _restart_entries(scene: Scene) -> None:
-    """Start some entries anew, one after the other."""
+    """Restart some entries one after the other."""
     ports = _draw(scene)
     for i, port in enumerate(ports):
         _later(2 * SPAN_S * i / len(ports), scene.fleet.replace, port)
 
 
 def _silence_connections(scene: Scene) -> None:
-    """Let the connections of some watches die without a word; new ones work."""
+    """Break the connections of some watches silently; new connections work."""
     for port in _draw(scene, are_victims=False):
         scene.fleet.entries[port].link.silence_watch(noticed_s=DEAD_CONNECTION_S)
 
 
 def _stick_watches(scene: Scene) -> None:
-    """Let the store forget some watches, though their connections stand."""
+    """Drop some watches in the store while their connections stay open."""
     for port in _draw(scene, are_victims=False):
         entry = scene.fleet.entries[port]
         entry.link.silence_watch()
-        # So that the next measurement begins without it.
+        # The next measurement must start without this fault.
         _later(5 * SPAN_S, entry.sync.restart_watch, "the fault is over")
 
 
--- a/halldoor/standins/storefleet.py
+++ b/halldoor/standins/storefleet.py
@@ -1,7 +1,8 @@
-"""Entries that keep in step with one store, in virtual time: the product's own tasks for it.
+"""Simulated fleet of entries that synchronize with one store in virtual time.
 
-A model for tests and measurements: each entry has the tasks that read the store, follow a reader
-and keep it registered; calls and messages take a time, and nothing of callers' requests is there.
+For tests and measurements: each entry runs the product's own tasks that read the store, follow a
+reader and keep the entry registered.  Calls and messages have delays; there are no callers'
+requests.
 """
 
 from __future__ import annotations
@@ -27,41 +28,41 @@
 PAGE_ITEMS = 500
 """Items on a page of the store."""
 BATCH_S = 0.6
-"""Pause after changes of an entry that watches for itself alone, in seconds."""
+"""Pause after changes of an entry that watches the store directly and only for itself, in s."""
 IP = "10.0.0.1"
 SERVICE = "deck"
 
 
 class StoreFleet:
-    """Entries of several halls, targets and a store.
+    """Entries in several halls, target records and a store.
 
     Parameters
     ----------
     entries : int or sequence of int
-        How many there are, or how many there are in each hall.
+        Number of entries, or number of entries in each hall.
     halls, targets : int
-        How many there are.
+        Number of halls and of target records.
     regions : int, optional
-        How many there are; halls are dealt out to them in turn, and the store is in the first hall.
+        Number of regions; halls are assigned to them in turn.  The store is in the first hall.
     page_items : int, optional
         Items on a page of the store.
     settings, batch_s : RelaySettings, float, optional
-        When entries read the store; see `ChangeFeed`.
+        Timing of the entries' reads; see `ChangeFeed`.
     delays, answer_s : Delays, float, optional
-        Time of messages on their way, and of the store for a call, in seconds.
+        One-way delays of messages, and the store's processing time for a call, in seconds.
     has_expiry : bool, optional
-        Leases that are not renewed lapse.
+        Leases that are not renewed expire.
 
     Attributes
     ----------
     targets : int
-        Targets that were there from the start.
+        Number of target records written at the start.
     server : StoreServer
-        The store on the network, and its faults.
+        The store as a network node, with its faults.
     nodes : dict of int to Node
-        Entries on the network by their port, and their faults.
+        Entries as network nodes by port, with their faults.
     handed_bytes : int
-        Bytes that entries answered each other.
+        Bytes of the answers that entries sent to each other.
     """
 
     def __init__(
@@ -107,22 +108,22 @@
         self._members = {port: self._build_member(port, h) for port, h in enumerate(places, 1)}
 
     def _build_member(self, port: int, hall: int) -> MemberRecord:
-        """Build an entry's record."""
+        """Build the member record of the entry with a port, in the hall with a number."""
         address = Address(IP, port)
         return MemberRecord(f"e{port}", address, f"h{hall}", f"r{hall % self._regions}", address)
 
     @property
     def calls(self) -> list[tuple[float, str]]:
-        """Calls to the store: when, and of which kind."""
+        """Calls to the store: time and kind of each."""
         return self.server.calls
 
     def configure(self, version: int) -> None:
-        """Write a version of the configuration."""
+        """Write a configuration with a version number to the store."""
         data = {"version": version, "routes": [], "services": []}
         self.store.put("routing", msgspec.json.encode(data))
 
     def find_hall(self, number: int) -> str:
-        """Return the hall of a target that was there from the start."""
+        """Return the hall of a target that was written at the start."""
         return f"h{number % self._halls}"
 
     def write_target(
@@ -139,7 +140,7 @@
         self.store.remove(f"{TARGET_PREFIX}{name_target(number)}")
 
     async def start(self, *, within_s: float) -> None:
-        """Start every entry anew, at moments within a time."""
+        """Create and start every entry, each at a random moment within a period in seconds."""
         loop = asyncio.get_running_loop()
         loop.set_task_factory(create_task)
         for port, member in self._members.items():
@@ -151,7 +152,7 @@
         await asyncio.sleep(within_s)
 
     def list_readers(self) -> list[int]:
-        """List the ports of the entries that read for others."""
+        """List the ports of the readers: entries that read the store for others."""
         halls = sorted({member.hall for member in self._members.values()})
         members = self._members.values()
         readers = [r for hall in halls for r in choose_readers(members, hall, self.settings)]
@@ -164,34 +165,34 @@
             entry.port.datagram_received(data, (sender.ip, sender.port))
 
     def replace(self, port: int) -> ModelEntry:
-        """Kill an entry and start it anew."""
+        """Kill an entry and start a new one on its port."""
         self.entries[port].stop()
         entry = self.entries[port] = ModelEntry(self, self._members[port])
         entry.start()
         return entry
 
     def cut(self, port: int, for_s: float) -> None:
-        """Cut an entry off from the store for a time."""
+        """Refuse an entry's calls to the store for a time, in seconds."""
         link = self.entries[port].link
         link.is_cut = True
         asyncio.get_running_loop().call_later(for_s, setattr, link, "is_cut", False)
 
     async def restore(self, copy: StoreCopy, *, away_s: float = 0.5) -> None:
-        """Bring the store back from a copy, after a time without it."""
+        """Restore the store from a copy, after an outage of ``away_s`` seconds."""
         self.store.cut()
         await asyncio.sleep(away_s)
         self.store.restore(copy)
         self.store.is_down = False
 
     def is_in_step(self, version: int) -> bool:
-        """Check whether every entry believes a version, and is registered."""
+        """Check whether every entry has applied a configuration version and is registered."""
         registered = len(self.store.list_keys("entries/")) == len(self.entries)
         return registered and all(
             entry.catalog.configuration_version == version for entry in self.entries.values()
         )
 
     async def wait(self, version: int, *, limit_s: float = 20.0) -> float:
-        """Wait until all are in step; give the time it took, in seconds."""
+        """Wait until all entries have applied a version; return the time it took, in seconds."""
         began = _now()
         async with asyncio.timeout(limit_s):
             while not self.is_in_step(version):
@@ -199,11 +200,11 @@
         return _now() - began
 
     def count_calls(self, since: float, until: float) -> Counter[str]:
-        """Count calls to the store by kind, between two moments."""
+        """Count the calls to the store between two times, by kind."""
         return Counter(kind for at, kind in self.calls if since <= at < until)
 
     def stop(self) -> None:
-        """End every entry."""
+        """Stop every entry."""
         for entry in self.entries.values():
             entry.stop()
 
@@ -214,5 +215,5 @@
 
 
 def _now() -> float:
-    """Return the loop's time."""
+    """Return the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
--- a/halldoor/standins/storelink.py
+++ b/halldoor/standins/storelink.py
@@ -1,4 +1,4 @@
-"""One entry's way to the store of a model, with the faults of stores and of ways to them."""
+"""Simulated connection of an entry to its store, with faults of the store and the connection."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from halldoor.standins.modelnetwork import Network, Node, Place
 
 CALL_S = 1.0
-"""Longest wait for an answer, in seconds."""
+"""Timeout of a call, in seconds."""
 READ_S = 3.0
-"""Longest wait for a page of a range, in seconds."""
+"""Timeout for reading a page of a range, in seconds."""
 
 SILENT_MOST_S = 60.0
-"""Longer than any watch, in seconds."""
+"""Longest time for which a silent watch waits, in seconds; longer than any watch's timeout."""
 
 
 class StoreServer:
-    """The store as a server on the network.
+    """The store as a node on the simulated network.
 
     Parameters
     ----------
     answer_s : float
-        Time of its own for a call, in seconds.
+        Processing time of a call, in seconds.
 
     Attributes
     ----------
     slowness : float
-        Factor of the time for a call.
+        Factor applied to the processing time of a call.
     refused : float
-        Share of the calls that are turned away.
+        Share of the calls that are answered with 429.
     calls : list of tuple of float and str
-        Calls: when, and of which kind.
+        Time and kind of each call.
     """
 
     def __init__(
@@ -53,24 +53,24 @@
         self._random = random
 
     async def accept(self, kind: str) -> None:
-        """Accept a call, or turn it away."""
+        """Record a call, and wait for the store's processing time."""
         self.calls.append((asyncio.get_running_loop().time(), kind))
         await asyncio.sleep(self._answer_s * self.slowness)
 
     def is_refused(self) -> bool:
-        """Draw whether a call is turned away."""
+        """Draw at random whether a call is refused."""
         return self.refused > 0 and self._random.random() < self.refused
 
 
 class StoreLink(MetadataStore):
-    """One entry's way to the store; calls take time, and are counted by kind.
+    """The store as one entry reaches it over the network; calls are delayed and recorded by kind.
 
     Attributes
     ----------
     is_cut : bool
-        Calls are refused on the way.
+        Calls fail at once without reaching the store.
     is_silent : bool
-        Nothing passes either way, and nobody is told.
+        Calls and answers are held back without an error until this is false again.
     """
 
     def __init__(self, server: StoreServer, node: Node) -> None:
@@ -82,13 +82,13 @@
         self._noticed_s = math.inf
 
     def silence_watch(self, *, noticed_s: float = math.inf) -> None:
-        """Let the present watch hear nothing more; later ones work.
+        """Stop the current watch from receiving changes; later watches work.
 
         Parameters
         ----------
         noticed_s : float, optional
-            Time until the connection is found dead, in seconds; infinite where the store still
-            acknowledges what arrives on it.
+            Time until the connection is detected as dead, in seconds; infinite if the store still
+            acknowledges data on it.
         """
         self._noticed_s = noticed_s
         self._silenced.set()
@@ -96,7 +96,7 @@
 
     @asynccontextmanager
     async def _call(self, kind: str, *, limit_s: float = CALL_S) -> AsyncIterator[MemoryStore]:
-        """Make a call: reach the store, and bring its answer or its error back."""
+        """Send a call over the network; yield the store, and return its answer or error."""
         server = self._server
         try:
             async with asyncio.timeout(limit_s):
@@ -121,24 +121,24 @@
             raise StoreError(f"No answer to {kind}.", remedy="Check the store.") from None
 
     async def _travel(self, sender: Node, receiver: Node) -> None:
-        """Pass one way."""
+        """Wait for one transmission between the entry and the store."""
         await self._server.network.travel(sender, receiver)
         while self.is_silent:
             await asyncio.sleep(CALL_S)
 
     async def read_range(self, prefix: str, *, after: str = "") -> Page:
-        """Read a page."""
+        """Return one page of the keys with a prefix."""
         async with self._call("range", limit_s=READ_S) as store:
             return await store.read_range(prefix, after=after)
 
     async def watch(self, prefix: str, *, after: int, wait_s: float) -> Events:
-        """Wait for changes."""
+        """Wait for changes after a revision, for ``wait_s`` seconds at most."""
         async with self._call("watch", limit_s=wait_s + CALL_S) as store:
             watch = store.watch(prefix, after=after, wait_s=wait_s)
             return await self._listen(watch)
 
     async def _listen(self, watch: Coroutine[Any, Any, Events]) -> Events:
-        """Wait for a watch, or for the end of its connection once that is silent."""
+        """Wait for a watch's answer; fail once a silenced connection is detected as dead."""
         waiting = asyncio.ensure_future(watch)
         silenced = asyncio.ensure_future(self._silenced.wait())
         try:
@@ -157,7 +157,7 @@
             await store.write(key, value, lease=lease)
 
     async def claim(self, key: str, *, lease: str) -> bool:
-        """Write a key unless it is there."""
+        """Write a key under a lease unless the key exists; return whether it was written."""
         async with self._call("write") as store:
             return await store.claim(key, lease=lease)
 
@@ -167,7 +167,7 @@
             return await store.create_lease(ttl_s)
 
     async def renew_lease(self, lease: str) -> None:
-        """Renew a lease; its price is a tenth of another call's."""
+        """Renew a lease; a renewal costs a tenth of another call."""
         async with self._call("renewal") as store:
             await store.renew_lease(lease)
 
--- a/halldoor/standins/target.py
+++ b/halldoor/standins/target.py
@@ -1,4 +1,4 @@
-"""A stand-in for a target: slots, latency, drains, cold start, shedding, lies and counts."""
+"""Stand-in for a target, with slots, latency, cold start, faults and wrong load reports."""
 
 from __future__ import annotations
 
@@ -19,38 +19,38 @@
 
 
 class Behaviour(msgspec.Struct):
-    """How the target behaves, set by ``POST /control``.
+    """Latency, slots and faults of the target, set by ``POST /control``.
 
     Attributes
     ----------
     latency_s : float
         Time that a request takes.
     slots : int
-        Requests run at once; one more is shed.
+        Most requests that run at once; see ``ignore_limit``.
     leaving, healthy : bool
-        What the health endpoint says; a leaving target sheds new work.
+        State that the health endpoint reports; a leaving target sheds new requests.
     cold_s : float
         Time after start in which requests take four times as long.
     shed_share : float
-        Share of requests shed although there is room.
+        Share of requests shed although slots are free.
     fail_after_run : int
-        Requests that run and are then answered 503 without the shed marker.
+        Number of next requests that run and are then answered 503 without the shed marker.
     cut_after_run : int
-        Requests that run and then lose their connection.
+        Number of next requests that run and whose connection is then cut.
     truncate : int
-        Answers that break off in the middle.
+        Number of next answers whose connection is cut in the middle.
     stall : int
-        Answers that stop in the middle and leave the connection open.
+        Number of next answers that stop in the middle with the connection left open.
     close_idle : bool
-        Close each connection as soon as its next request comes, unread.
+        Close each connection when its next request arrives, without reading it.
     report_lag_s : float
         Age of the load that the load endpoint reports.
     report_load : float
         Load to report instead of the true one; below 0 for the true one.
     ignore_cancel : bool
-        Go on with a request whose caller has gone, until its work or deadline ends.
+        Keep running a request whose caller disconnected, until it finishes or its deadline passes.
     ignore_limit : bool
-        Run what exceeds the slots, and count it, instead of shedding.
+        Run and count requests beyond the slots instead of shedding them.
     """
 
     latency_s: float = 0.01
@@ -76,7 +76,7 @@
     Parameters
     ----------
     behaviour : Behaviour
-        How it behaves at first.
+        Behaviour at the start.
     """
 
     def __init__(self, behaviour: Behaviour) -> None:
@@ -92,7 +92,7 @@
         self._loads: deque[tuple[float, float]] = deque(maxlen=5_000)
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
-        """Serve one request."""
+        """Serve one HTTP request."""
         path = environ["PATH_INFO"]
         if path == "/control":
             return self._control(environ, start_response)
@@ -105,21 +105,21 @@
         return self._run(environ, start_response)
 
     def _control(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """Change some of the behaviour."""
+        """Change the behaviour fields given in the request's JSON."""
         changes = msgspec.json.decode(environ["wsgi.input"].read(int(environ["CONTENT_LENGTH"])))
         merged = msgspec.to_builtins(self.behaviour) | changes
         self.behaviour = msgspec.convert(merged, type=Behaviour)
         return _send_json(start, 200, merged)
 
     def _get_health(self) -> dict[str, Any]:
-        """Build the health answer."""
+        """Build the body of the health endpoint's answer."""
         b = self.behaviour
         state = "leaving" if b.leaving else "ok" if b.healthy else "failing"
         age_s = time.monotonic() - self._started
         return {"state": state, "age_s": age_s, "slots": b.slots, "load": self._get_reported_load()}
 
     def _get_reported_load(self) -> float:
-        """Return the load, as old or as wrong as the behaviour says."""
+        """Return the load to report: the configured one, or the true one ``report_lag_s`` ago."""
         if self.behaviour.report_load >= 0:
             return self.behaviour.report_load
         wanted = time.monotonic() - self.behaviour.report_lag_s
@@ -131,7 +131,7 @@
         return load
 
     def _get_stats(self) -> dict[str, Any]:
-        """Build the counts for the judge."""
+        """Build the counts that tests and soaks check."""
         with self._lock:
             return {
                 "in_flight": self._in_flight,
@@ -143,7 +143,7 @@
             }
 
     def _run(self, environ: dict[str, Any], start: Any) -> Iterable[bytes]:
-        """Run one request, or shed it."""
+        """Run one request and answer it, or shed it."""
         if self.behaviour.close_idle:
             raise cut_connection(environ, "closed on demand")
         if not self._enter():
@@ -160,7 +160,7 @@
             self._leave()
 
     def _enter(self) -> bool:
-        """Take a slot; False where the request is shed."""
+        """Reserve a slot; return False if the request is shed."""
         with self._lock:
             b = self.behaviour
             self._shed_turn += b.shed_share
@@ -181,13 +181,13 @@
             return True
 
     def _leave(self) -> None:
-        """Return the slot back."""
+        """Release the slot of a finished request."""
         with self._lock:
             self._in_flight -= 1
             self._loads.append((time.monotonic(), self._in_flight / self.behaviour.slots))
 
     def _work(self, environ: dict[str, Any]) -> bool:
-        """Take the time that the request takes; False where it is cancelled on the way."""
+        """Wait for the work time; return False if the request is cancelled or its deadline passes."""
         query = parse_qs(environ.get("QUERY_STRING", ""))
         b = self.behaviour
         takes_s = float(query.get("work_s", [str(b.latency_s)])[0])
@@ -212,7 +212,7 @@
     def _answer(
         self, environ: dict[str, Any], start: Any, size: int, digest: str
     ) -> Iterable[bytes]:
-        """Answer a request that ran, or fail to."""
+        """Answer a request that ran, unless a configured fault hits the answer."""
         with self._lock:
             b = self.behaviour
             has_cut, b.cut_after_run = b.cut_after_run > 0, max(0, b.cut_after_run - 1)
@@ -236,7 +236,10 @@
 
 
 def cut_connection(environ: dict[str, Any], why: str) -> ConnectionAbortedError:
-    """Cut the caller's connection, so that not even an error answer gets out."""
+    """Cut the caller's connection, and return the error to raise.
+
+    The server's own error answer can then not reach the caller.
+    """
     sock = environ.get("halldoor.socket")
     if sock is not None:
         with contextlib.suppress(OSError):
@@ -245,14 +248,14 @@
 
 
 def _is_closed(sock: Any, wait_s: float) -> bool:
-    """Wait a while and tell whether the caller closed its connection."""
+    """Wait up to ``wait_s`` seconds, and return whether the caller closed its connection."""
     poller = select.poll()
     poller.register(sock, select.POLLRDHUP)
     return bool(poller.poll(max(0.0, wait_s) * 1000))
 
 
 def _digest_body(environ: dict[str, Any]) -> tuple[int, str]:
-    """Read the body without keeping it."""
+    """Read the body without storing it; return its size and SHA-256 digest."""
     digest, size = sha256(), 0
     source = environ["wsgi.input"]
     missing = int(environ.get("CONTENT_LENGTH") or -1)
@@ -269,13 +272,13 @@
 
 
 def make_bytes(seed: str, length: int) -> bytes:
-    """Make the body that a seed stands for."""
+    """Build the answer body of a length that a seed determines."""
     block = sha256(seed.encode()).digest()
     return (block * (length // len(block) + 1))[:length]
 
 
 def _make_body(seed: str, length: int) -> Iterator[bytes]:
-    """Make a body in pieces."""
+    """Yield the body that a seed determines, in pieces."""
     whole = make_bytes(seed, min(length, PIECE))
     while length > 0:
         yield whole[: min(length, PIECE)]
@@ -283,7 +286,7 @@
 
 
 def _cut_after(pieces: Iterator[bytes], environ: dict[str, Any]) -> Iterator[bytes]:
-    """Give pieces and then cut the connection."""
+    """Yield pieces of a body, and then cut the connection."""
     yield from pieces
     raise cut_connection(environ, "cut short on demand")
 
@@ -299,6 +302,6 @@
 
 
 def _send_shed(start: Any) -> Iterable[bytes]:
-    """Refuse with the marker that says the request did not run."""
+    """Answer 503 with the marker which states that the request did not run."""
     start("503 Unavailable", [("Target-Shed", "not-run"), ("Content-Length", "0")])
     return []
--- a/halldoor/standins/virtualtime.py
+++ b/halldoor/standins/virtualtime.py
@@ -1,4 +1,7 @@
-"""An event loop whose time passes only while all wait: minutes in a second, the same each time."""
+"""Event loop in virtual time: the clock jumps to the next timer when no task can run.
+
+Simulated minutes take about a second, and every run is the same.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +12,16 @@
 
 
 class _NoSockets(selectors.SelectSelector):
-    """A selector that never waits: the loop's clock goes on instead."""
+    """A selector that advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Let the time pass for which the loop would wait."""
+        """Advance the clock by the time for which the loop would wait."""
         if timeout is None:
-            raise RuntimeError("Everything waits for ever. Let something be due.")
+            raise RuntimeError("All tasks wait and no timer is set. Schedule a timer.")
         self.now += max(0.0, timeout)
         return []
 
@@ -35,11 +38,11 @@
         return self._virtual.now
 
     def suspend(self, for_s: float) -> None:
-        """Let the time pass as on a machine that is suspended: nothing runs meanwhile."""
+        """Advance the clock without running any task, as on a suspended machine."""
         self._virtual.now += for_s
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine until it finishes, in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(main)
--- a/halldoor/standins/withdrawals.py
+++ b/halldoor/standins/withdrawals.py
@@ -1,7 +1,7 @@
-"""Time from the store's word that a target drains or is gone until entries exclude it.
+"""Measure how long entries take to exclude a target after its record says drain or is removed.
 
-In virtual time, with the product's own tasks: one target after another is withdrawn while faults
-act, and each entry is looked at until it no longer sends the target anything.
+In virtual time, with the product's own tasks: targets are withdrawn one after another while faults
+are active, and each entry is checked until it would no longer send a request to the target.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from halldoor.standins.storefleet import PAGE_ITEMS, SERVICE, StoreFleet, name_target
 
 LEAD_S = 4.0
-"""Time before a withdrawal in which faults begin, in seconds."""
+"""Time before a withdrawal from which faults are scheduled, in seconds."""
 WATCHED_S = 6.0
-"""Time after a withdrawal for which entries are looked at, in seconds."""
+"""Time after a withdrawal for which entries are checked, in seconds."""
 RECOVERY_S = 8.0
-"""Time between two withdrawals in which all faults end, in seconds."""
+"""Pause after a measurement, long enough for all faults to end, in seconds."""
 PERIOD_S = 0.01
-"""Period at which entries are looked at, in seconds."""
+"""Interval at which entries are checked, in seconds."""
 BATCH_SHARE = 0.4
-"""Part of the bound that an entry pauses after changes."""
+"""Share of the bound for which an entry pauses after reading changes."""
 
 
 class Way(Enum):
@@ -39,7 +39,7 @@
 
 
 class Deployment(NamedTuple):
-    """Entries in each hall, and the time in which a change has to be in force, in seconds."""
+    """Entries in each hall, regions, targets, and the bound in seconds for applying a change."""
 
     entries: Sequence[int]
     regions: int
@@ -48,7 +48,7 @@
 
     @property
     def name(self) -> str:
-        """How many entries there are."""
+        """Name by the number of entries, for test ids and tables."""
         return f"{sum(self.entries)} entries"
 
 
@@ -60,12 +60,13 @@
 
 
 class Times(NamedTuple):
-    """When entries excluded a withdrawn target, in seconds after the store took the record.
+    """Times until entries excluded a withdrawn target, in seconds after the store's write.
 
     Attributes
     ----------
     in_touch, others : list of float
-        Entries without and with a fault of their own; infinite where one never did.
+        Entries that no fault affected directly, and the others; infinite for an entry that did
+        not exclude the target while checked.
     """
 
     in_touch: list[float]
@@ -90,18 +91,18 @@
 
 
 async def start(fleet: StoreFleet) -> None:
-    """Start the entries, and wait until all are in step."""
+    """Start the entries, and wait until all have applied the configuration."""
     fleet.configure(1)
     await fleet.start(within_s=0.5)
     await fleet.wait(1)
-    # Until those that lost their reader at the start follow one again.
+    # Entries that lost their reader during the start need this long to follow one again.
     await asyncio.sleep(1.2 * fleet.settings.direct_s)
 
 
 async def measure(
     fleet: StoreFleet, number: int, way: Way, faults: Sequence[str], random: Random
 ) -> Times:
-    """Withdraw a target while faults act, and return when entries excluded it."""
+    """Withdraw a target while faults are active; return the times until entries excluded it."""
     loop = asyncio.get_running_loop()
     scene = Scene(fleet, random, set())
     moment = loop.time() + LEAD_S
@@ -118,7 +119,7 @@
 
 
 def withdraw(fleet: StoreFleet, number: int, way: Way) -> None:
-    """Let the store take the record that a target drains, or its removal."""
+    """Mark a target as draining in the store, or remove its record."""
     if way is Way.DRAINING:
         fleet.write_target(number, fleet.find_hall(number), is_draining=True)
     else:
@@ -128,7 +129,7 @@
 async def watch_exclusion(
     fleet: StoreFleet, target: str, *, for_s: float = WATCHED_S
 ) -> dict[int, float]:
-    """Look at all entries for a time, and return when each excluded a target for good."""
+    """Check all entries for a time; return the time until each excluded a target for good."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     times = dict.fromkeys(fleet.entries, math.inf)
@@ -149,6 +150,6 @@
 
 
 def excludes(catalog: Catalog, target: str) -> bool:
-    """Check whether nothing is sent to a target, not even as a last resort."""
+    """Check whether a target receives no requests, not even as a last resort."""
     usable = {t.name for t in catalog.list_usable(SERVICE)}
     return target not in usable and target not in catalog.lapsed
--- a/halldoor/tests/test_moves.py
+++ b/halldoor/tests/test_moves.py
@@ -1,13 +1,13 @@
-"""How much of a region's requests changes its region at once.
+"""Limit on the share of a region's requests that changes its region at once.
 
-A hall of a region with two was evacuated for 26 s at the height of the region's day, and its eight
-targets came back cold.  They stood first in their keys' orders again at once, but each took only
-one request a second from an entry; what it did not take went to the key's next target, which was in
-another region for two of five, or was refused, while the targets that had served these keys for
-26 s were passed over.  6 s later all eight stopped being cold in the same moment, and everything
-came back: 29 of 100 requests of the region changed their region within 2 s; 15 were allowed.
+One hall of a region with two was evacuated for 26 s at the region's daily peak, and its eight
+targets returned cold.  They were first in their keys' orders again at once, but each accepted only
+one request a second from an entry.  Excess requests went to the key's next target, in two of five
+cases in another region, or were refused; the targets that had served these keys for 26 s were
+skipped.  6 s later all eight stopped being cold at the same time, and all requests moved back: 29 %
+of the region's requests changed their region within 2 s; 15 % were allowed.
 
-What settled it, of the region's four entries (requests sent to other regions, and refused):
+Requests of the region's four entries that were sent to other regions, and that were refused:
 
     second      71   72   73 | 74   75   76   77   78   79 | 80   81
     far, %      18   21   26 | 32   36   47   30   24   36 | 12    8
@@ -27,7 +27,7 @@
 from halldoor.standins.replay import Replay
 
 MAX_SHIFT = 0.15
-"""Part of a region's requests that may change its region from one window to the next."""
+"""Largest share of a region's requests that may change its region between two windows."""
 SEEDS = (1, 2, 3, 4)
 
 
@@ -57,12 +57,12 @@
 
 
 class TestReturningRegion:
-    """Both halls of a region come back together: all of its requests ran elsewhere."""
+    """Both halls of a region return together after all its requests ran in other regions."""
 
     def test_it_comes_back_as_slowly_as_the_operators_ask(self, region_runs):
-        """The four plays are summed up, since chance alone moves 0.1 of 200 requests.
+        """The runs of all four seeds are combined, since chance alone moves 0.1 of 200 requests.
 
-        Without the bound 0.67 to 0.79 of the region's requests came back within 2 s.
+        Without the limit, 0.67 to 0.79 of the region's requests moved back within 2 s.
         """
         assert find_largest_move(region_runs, "ams", RETURN_REGION).part <= MAX_SHIFT
 
--- a/halldoor/tests/test_path.py
+++ b/halldoor/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, by separate processes."""
+"""Requests through two halls of real processes: look-up, read, order, upload and explain."""
 
 import json
 from hashlib import sha256
@@ -43,7 +43,7 @@
         finally:
             for target in ("a1-t1", "a1-t2"):
                 two_halls.control(target, shed_share=0.0)
-        # A streamed body can't be sent twice: the shed marker makes this a true "not run".
+        # A streamed body can't be sent twice.  The shed marker proves that the request did not run.
         assert response.headers["Halldoor-Ran"] == "not run"
         response = two_halls.call("a1-e1", f"{SERVICE}/upload", method="PUT", body=body)
         assert json.loads(response.data)["sha256"] == sha256(body).hexdigest()
--- a/halldoor/tests/test_replay.py
+++ b/halldoor/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Load patterns in virtual time: what a mechanism of the choice gains under its load."""
+"""Replays of load patterns: the effect of single mechanisms of the choice of targets."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 class TestSharing:
     def test_a_hall_that_shares_what_it_learns_serves_more_in_time(self):
-        """0.79 in time where each entry knows its own answers only, 0.84 with its hall's."""
+        """0.79 within the aim if each entry knows only its own answers, 0.84 with its hall's."""
 
         def serve(sharing_s):
             pattern = msgspec.structs.replace(SHIFTED, sharing_s=sharing_s)
@@ -62,7 +62,7 @@
 
 class TestLargeFleet:
     def test_a_report_counts_until_the_next_one_is_due(self, usual, monkeypatch):
-        """0.82 in time after the first seconds where reports faded in 0.2 s, 0.96 with the pace."""
+        """0.82 within the aim from second 6 if reports decayed in 0.2 s, 0.96 by their interval."""
         monkeypatch.setattr(
             load.DecayTimes, "from_pace", classmethod(lambda cls, **_: DecayTimes())
         )
@@ -70,7 +70,7 @@
         assert average(usual, lambda t: t.share_in_aim(6.0)) > fading + 0.08
 
     def test_a_region_of_few_targets_serves_its_callers_better_by_its_room(self, usual):
-        """A fixed weight of 6 gave the region 0.4 of its keys, and the others 0.82 of theirs."""
+        """A fixed weight of 6 kept 0.4 of this region's keys local, and 0.82 of the others'."""
         weighed = play(adapt=use(near_region_fill=1.33, most_local=0.82))
         here, before = (average(t, lambda t: t.share_of_hall("ams-a")) for t in (usual, weighed))
         assert here > before + 0.01
--- a/halldoor/tests/test_standins.py
+++ b/halldoor/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins' own promises: runs side by side do not disturb each other."""
+"""Concurrent runs of stand-ins must not use the same ports."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 
 
 def test_each_process_listens_on_an_address_of_its_own():
-    """Two whole runs side by side took one port on one address; a fleet then did not start."""
+    """Two concurrent test runs opened the same port on one address, and a fleet did not start."""
     code = "from halldoor.standins.sample import IP; print(IP)"
     others = {
         subprocess.run(
--- a/halldoor/tests/test_storefleet.py
+++ b/halldoor/tests/test_storefleet.py
@@ -1,4 +1,4 @@
-"""The model of entries and their store: its faults do what their names say."""
+"""Faults of the simulated network, entries and store have the effect they are used for."""
 
 from __future__ import annotations
 
--- a/halldoor/tests/test_withdrawal_bound.py
+++ b/halldoor/tests/test_withdrawal_bound.py
@@ -1,7 +1,7 @@
-"""Every entry in touch excludes a target that drains or is gone within the bound, whatever fails.
+"""Every connected entry excludes a drained or removed target within the bound under any fault.
 
-In virtual time, at 74 entries in three regions unless said otherwise; the bound runs from the
-store's acknowledgement.
+In virtual time, with 74 entries in three regions unless stated otherwise; the time is measured from
+the store's acknowledgement.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from halldoor.standins.withdrawals import GROWN, SMALL, Way
 
 TRAVEL_S = 0.3
-"""Part of the bound that is left for connecting and travelling, in seconds."""
+"""Part of the bound reserved for connecting and transmission, in seconds."""
 DEPLOYMENT = GROWN._replace(targets=24)
 PAGE_ITEMS = 50
-"""Items on a page of the store, so that all records are on two as in a large one."""
+"""Items on a page of the store; small, so that the records fill two pages as in a large one."""
 LEAD_S = 1.0
-"""Time before the withdrawal in which faults begin, in seconds."""
+"""Time from the start of the schedule to the withdrawal, in seconds."""
 REFUSED = 0.6
-"""Share of the calls that the store turns away, so that some entries fail several times."""
+"""Share of the calls that the store refuses; some entries fail several times in a row."""
 FORGET_S = 0.1
-"""Time between the cut of the watches and the loss of the history, in seconds."""
+"""Time between the failure of the watches and the loss of the history, in seconds."""
 NUMBER = 5
-"""The target that is withdrawn."""
+"""Number of the target that is withdrawn."""
 
 
 def change_another_target(fleet):
-    """Let entries pause after a change that has nothing to do with the target."""
+    """Write an unrelated target record: entries pause after reading a change."""
     fleet.write_target(NUMBER + 1, fleet.find_hall(NUMBER + 1), slots=7)
 
 
@@ -55,13 +55,13 @@
 
 
 def lose_connections(fleet):
-    """Let the connection of every third watch die; it is found dead two seconds later."""
+    """Break the connection of every third watch; it is detected as dead two seconds later."""
     for port in range(1, len(fleet.entries) + 1, 3):
         fleet.entries[port].link.silence_watch(noticed_s=DEAD_CONNECTION_S)
 
 
 def stick_watches(fleet):
-    """Let every third watch hear nothing more, though its connection stands."""
+    """Stop every third watch from receiving changes while its connection stays open."""
     for port in range(1, len(fleet.entries) + 1, 3):
         fleet.entries[port].link.silence_watch()
 
@@ -75,7 +75,10 @@
 
 
 def assert_excluded_within_bound(way, *events, seed=1, deployment=DEPLOYMENT, lead_s=LEAD_S):
-    """Withdraw a target, with events at seconds after it, and check when it was excluded."""
+    """Withdraw a target, and check that all entries exclude it within the bound.
+
+    Each event is a time in seconds relative to the withdrawal, and a fault to start then.
+    """
     times = {}
 
     async def measure():
@@ -97,7 +100,7 @@
 
 class TestStoreGap:
     def test_removal_during_the_gap_is_not_kept_as_a_lapse(self):
-        # A removal that came while the watches heard nothing counted as a lapse for 2 s more.
+        # A removal during the gap was taken for an expired record, and the target kept for 2 s more.
         events = [(-0.5, open_gap), (0.5, close_gap)]
         assert_excluded_within_bound(Way.REMOVAL, *events)
 
@@ -106,14 +109,14 @@
         [(Way.DRAINING, slow_store), (Way.REMOVAL, slow_store), (Way.DRAINING, throttle_store)],
     )
     def test_pause_after_another_change_then_a_gap(self, way, fault):
-        # Pause, deaf watch, back-off and whole reading each kept to the bound, their sum did not.
+        # Pause, silent watch, back-off and full read each stayed within the bound; their sum did not.
         events = [(-1.0, fault), (-0.3, change_another_target), (0.9, open_gap), (1.9, close_gap)]
         assert_excluded_within_bound(way, *events)
 
     @pytest.mark.parametrize("deployment", [DEPLOYMENT, *SMALL], ids=lambda d: d.name)
     @pytest.mark.parametrize("way", Way)
     def test_watches_that_begin_before_the_history_is_forgotten_hear_nothing(self, way, deployment):
-        # All entries opened another watch as soon as they were cut, and heard of no change by it.
+        # All entries started a new watch right after the cut, and it received no change.
         events = [(-0.1, open_gap), (0.9, close_gap_late)]
         assert_excluded_within_bound(way, *events, deployment=deployment)
 
@@ -121,23 +124,23 @@
 class TestThrottledStore:
     @pytest.mark.parametrize("way", Way)
     def test_watch_after_a_pause_is_turned_away(self, way):
-        # Entries that watch for themselves alone paused, and then backed off up to a second a time.
+        # Entries that watch only for themselves paused, and then backed off up to 1 s each time.
         events = [(-0.05, change_another_target), (0.05, throttle_store)]
         assert_excluded_within_bound(way, *events, seed=2)
 
 
 class TestLostConnection:
     def test_own_absence_is_not_taken_for_one_of_the_store(self):
-        # Entries whose connection had died kept a removed target, as if its record had lapsed.
+        # Entries whose connection broke kept a removed target as if its record had expired.
         assert_excluded_within_bound(Way.REMOVAL, (-0.8, lose_connections))
 
     def test_removal_long_after_a_cut_is_not_kept_as_a_lapse(self):
-        # The first change after a cut counted as one of the store's absence, whenever it came.
+        # The first change after an isolation was taken for a result of it, however late it came.
         events = [(-12.0, isolate_an_entry), (-10.0, end_isolation)]
         assert_excluded_within_bound(Way.REMOVAL, *events, deployment=SMALL[0], lead_s=12.0)
 
 
 class TestStuckWatch:
     def test_watch_that_hears_nothing_is_not_relied_on(self):
-        # An entry that watches for itself alone waited 28 s for the answer.
+        # An entry that watches only for itself waited 28 s for the watch's answer.
         assert_excluded_within_bound(Way.DRAINING, (-1.0, stick_watches))
--- a/properties/test_quotas.py
+++ b/properties/test_quotas.py
@@ -1,4 +1,4 @@
-"""Laws of the quotas: in no window do all entries together admit more than a team may have."""
+"""Properties of quotas: all entries together admit at most a team's bound in any window."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def play(entries, rate, factor, seed, *, trouble=CALM, weights=None):
-    """Play a team at 0.6 of its rate, ``factor`` times that between seconds 3 and 10."""
+    """Simulate a team at 0.6 of its rate, times ``factor`` between seconds 3 and 10."""
     run = Run(entries, TeamLimit(rate, rate), trouble, seed=seed)
     return run.play(
         CollectorShares(),
@@ -49,7 +49,7 @@
 
 
 def cut_off(entries, *, part, collectors, from_s):
-    """Cut a part of the entries from the others, with some of the collectors or none."""
+    """Build faults that cut a share of the entries and some collectors off from the others."""
     return Trouble(
         cut_entries=int(part * entries),
         cut_collectors=collectors,
@@ -61,16 +61,16 @@
 @pytest.mark.parametrize("from_s", [3.0, 3.2, 3.4])
 @pytest.mark.parametrize("collectors", [0, 1])
 def test_a_team_that_becomes_hot_as_a_third_of_the_entries_is_cut_off(collectors, from_s):
-    """A team had 2,065 requests sent in 5 s, where 2,046 were allowed.
+    """A team had 2,065 requests admitted in 5 s, where 2,046 were allowed.
 
-    It became hot 1.1 s before 23 of 75 entries were cut off, the first collector among them.  For a
-    second all went by the last answer, which knew little of the surge; the second collector did
-    not reckon with what the entries it no longer heard admitted in that second, nor they with it
-    when they went on with equal parts.  Parts of the same team at one time:
+    Its rate rose 1.1 s before 23 of 75 entries, among them the first collector, were cut off.  For
+    one second all entries used the last answer, which included little of the surge.  The second
+    collector did not count what the entries cut off from it admitted in that second, and neither
+    did these when they continued with equal shares.  Shares of the same team at one time:
 
         9.5   in sent 49, refused 137, parts 0.00 to 0.74
 
-    Here, without a machine's chance, 2,314 to 2,434 were admitted.
+    In this simulation, without variation by the machine, 2,314 to 2,434 were admitted.
     """
     for entries in (12, 75):
         trouble = cut_off(entries, part=1 / 3, collectors=collectors, from_s=from_s)
@@ -95,7 +95,7 @@
 @settings(max_examples=6)
 @given(seed=SEEDS, rate=RATES)
 def test_below_its_quota_a_team_is_not_refused(seed, rate):
-    """An equal part for each of 24 entries alone refuses a fifth to a third of it."""
+    """Equal shares for 24 entries alone would refuse a fifth to a third of the requests."""
     run = play(24, rate, 1.0, seed)
     assert len(run.admitted) >= 0.995 * len(run.asked)
 
--- a/properties/test_rates.py
+++ b/properties/test_rates.py
@@ -1,4 +1,4 @@
-"""Laws of a target's rate: in no window do all entries together send more than it may get."""
+"""Properties of a target's rate: all entries together send at most the limit in any window."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     seed=st.integers(0, 1000),
 )
 def test_a_cold_rate_holds(cold_per_s, entries, trouble, seed):
-    """Entries that all restart at once have counted nothing, and may send their shares again."""
+    """No restarts here: entries that all restart lose their counts and may send again."""
     allowed = cold_per_s * 1.5 + 5.0
     bound = Bound(0.6 * allowed, 1.0, allowed, 1.1)
     worst = play(bound, entries, trouble._replace(restart_s=99.0), seed).find_worst_window()
@@ -53,7 +53,7 @@
 @settings(max_examples=25)
 @given(entries=st.sampled_from([2, 10, 75]), seed=st.integers(0, 1000))
 def test_a_cold_rate_holds_as_all_restart(entries, seed):
-    """Entries that restart without any pause have counted nothing of the window before."""
+    """Entries that restart without a pause have lost their counts of the previous window."""
     bound = Bound(0.6 * 18.5, 1.0, 18.5, 1.1)
     trouble = Trouble(cut_share=0.5, restart_s=5.0)
     assert play(bound, entries, trouble, seed).find_worst_window() <= bound.allowed
