--- a/halldoor/standins/target.py
+++ b/halldoor/standins/target.py
@@ -187,7 +187,7 @@
             self._loads.append((time.monotonic(), self._in_flight / self.behaviour.slots))
 
     def _work(self, environ: dict[str, Any]) -> bool:
-        """Wait for the work time; return False if the request is cancelled or its deadline passes."""
+        """Wait for the work time; return False if cancelled or past the deadline."""
         query = parse_qs(environ.get("QUERY_STRING", ""))
         b = self.behaviour
         takes_s = float(query.get("work_s", [str(b.latency_s)])[0])
--- a/halldoor/tests/test_withdrawal_bound.py
+++ b/halldoor/tests/test_withdrawal_bound.py
@@ -100,7 +100,7 @@
 
 class TestStoreGap:
     def test_removal_during_the_gap_is_not_kept_as_a_lapse(self):
-        # A removal during the gap was taken for an expired record, and the target kept for 2 s more.
+        # A removal during the gap was taken for an expiry, and the target was kept for 2 s more.
         events = [(-0.5, open_gap), (0.5, close_gap)]
         assert_excluded_within_bound(Way.REMOVAL, *events)
 
@@ -109,7 +109,7 @@
         [(Way.DRAINING, slow_store), (Way.REMOVAL, slow_store), (Way.DRAINING, throttle_store)],
     )
     def test_pause_after_another_change_then_a_gap(self, way, fault):
-        # Pause, silent watch, back-off and full read each stayed within the bound; their sum did not.
+        # Pause, silent watch, back-off and full read each met the bound, but their sum did not.
         events = [(-1.0, fault), (-0.3, change_another_target), (0.9, open_gap), (1.9, close_gap)]
         assert_excluded_within_bound(way, *events)
 
