--- a/halldoor/standins/crashfleet.py
+++ b/halldoor/standins/crashfleet.py
@@ -19,7 +19,9 @@
 from halldoor.core.targets.changes import MemberRecord
 
 BAD = "bad"
+"""Digest of the request that crashes its targets."""
 POPULAR = "popular"
+"""Digest of the harmless request."""
 WORK_S = 0.075
 """Time for which a request runs before it is answered or crashes its target, in seconds."""
 AWAY_S = (1.5, 3.0)
--- a/halldoor/standins/leavingways.py
+++ b/halldoor/standins/leavingways.py
@@ -46,7 +46,7 @@
 
 
 class NotifiedEntries(OwnAnswers):
-    """An entry that received such an answer notifies its receivers."""
+    """An entry whose request was answered by the leaving target notifies its receivers."""
 
     forwards = False
 
--- a/halldoor/standins/memorystore.py
+++ b/halldoor/standins/memorystore.py
@@ -190,7 +190,7 @@
         return Events(items, self._revision)
 
     def _is_kept(self, cuts: int) -> bool:
-        """Check whether a watch that started after ``cuts`` cuts has not been cut since."""
+        """Check whether a watch is still open; ``cuts`` is the number of cuts at its start."""
         return not self.is_down and cuts == self._cuts
 
     async def write(self, key: str, value: bytes, *, lease: str) -> None:
--- a/halldoor/standins/modelnetwork.py
+++ b/halldoor/standins/modelnetwork.py
@@ -93,7 +93,7 @@
 
 
 class Network:
-    """Delays, losses and cuts between nodes.
+    """Transmission between nodes, with delays, losses and isolation.
 
     Parameters
     ----------
@@ -125,7 +125,7 @@
         asyncio.get_running_loop().call_later(delay_s, receiver.receive, receive)
 
     def _is_lost(self, sender: Node, receiver: Node) -> bool:
-        """Draw whether a message is lost."""
+        """Draw at random whether a message is lost."""
         kept = (1 - sender.loss) * (1 - receiver.loss)
         return kept < 1 and self._random.random() >= kept
 
--- a/halldoor/standins/quotafleet.py
+++ b/halldoor/standins/quotafleet.py
@@ -66,6 +66,13 @@
         The team's quota.
     seed : int
         Seed of all random draws.
+
+    Attributes
+    ----------
+    asked, admitted : list of float
+        Arrival times of all requests, and of those that were admitted, in seconds.
+    messages : int
+        Number of messages that were sent.
     """
 
     def __init__(self, entries: int, limit: TeamLimit, trouble: Trouble, *, seed: int) -> None:
--- a/halldoor/standins/storefaults.py
+++ b/halldoor/standins/storefaults.py
@@ -24,6 +24,7 @@
 DEAD_CONNECTION_S = 2.0
 """Time until an idle connection is detected as dead, in seconds; see `HttpConnection`."""
 ENTRIES_PER_VICTIM = 8
+"""Number of entries of the fleet for each one that a fault is applied to."""
 
 
 class Scene(NamedTuple):
--- a/halldoor/standins/storefleet.py
+++ b/halldoor/standins/storefleet.py
@@ -192,7 +192,7 @@
         )
 
     async def wait(self, version: int, *, limit_s: float = 20.0) -> float:
-        """Wait until all entries have applied a version; return the time it took, in seconds."""
+        """Wait until all entries have applied a version and are registered; return the seconds."""
         began = _now()
         async with asyncio.timeout(limit_s):
             while not self.is_in_step(version):
