--- a/halldoor/core/hall/retry.py
+++ b/halldoor/core/hall/retry.py
@@ -26,7 +26,7 @@
         """Record a first attempt, which earns a share of a retry."""
         self._credit = min(self._reserve, self._credit + self._share)
 
-    def take_retry(self) -> bool:
+    def reserve_retry(self) -> bool:
         """Spend one retry; return False if the budget is used up."""
         if self._credit < 1.0:
             return False
--- a/halldoor/core/quarantine/evidence.py
+++ b/halldoor/core/quarantine/evidence.py
@@ -81,9 +81,9 @@
     @classmethod
     def from_evidence(cls, evidence: Evidence, now: float) -> CrashHistory:
         """Build a history that holds the given evidence only."""
-        case = cls(evidence.digest)
-        case.merge(evidence, now)
-        return case
+        history = cls(evidence.digest)
+        history.merge(evidence, now)
+        return history
 
     def add_crash(self, target: str, caller: str, at: float) -> bool:
         """Add a crashed target; return False if its crash is already recorded."""
--- a/halldoor/core/targets/budget.py
+++ b/halldoor/core/targets/budget.py
@@ -78,7 +78,7 @@
         """Count a caller's request."""
         self._requests.add(now)
 
-    def take_retry(self, now: float, *, entries: int) -> bool:
+    def reserve_retry(self, now: float, *, entries: int) -> bool:
         """Count one retry against this entry's share; False if the share is used up.
 
         Parameters
--- a/halldoor/core/targets/catalog.py
+++ b/halldoor/core/targets/catalog.py
@@ -13,14 +13,14 @@
 from halldoor.core.targets.changes import (
     Change,
     EvacuationSet,
-    EvidenceGone,
+    EvidenceRemoved,
     EvidenceSeen,
-    MemberGone,
     MemberRecord,
+    MemberRemoved,
     MemberSeen,
     RoutingSeen,
-    TargetGone,
     TargetRecord,
+    TargetRemoved,
     TargetSeen,
     TargetStart,
 )
@@ -94,18 +94,18 @@
                 return self._apply_routing(routing)
             case TargetSeen(record):
                 return self._apply_target(record, now)
-            case TargetGone(incarnation):
+            case TargetRemoved(incarnation):
                 return self._remove_target(incarnation, now)
             case EvacuationSet(hall, is_evacuated):
                 return self._set_evacuation(hall, is_evacuated, now)
             case MemberSeen(member):
                 return self._apply_member(member)
-            case MemberGone(name):
+            case MemberRemoved(name):
                 return self._remove_member(name, now)
             case EvidenceSeen(record):
                 self._suspects.add(record.digest)
                 return True
-            case EvidenceGone(digest):
+            case EvidenceRemoved(digest):
                 self._suspects.discard(digest)
                 return True
 
@@ -265,7 +265,7 @@
                 self._restarted.add(record.incarnation)
                 self.lapsed.pop(record.incarnation, None)
             target = self._targets[record.incarnation] = Target(record, cold_until)
-            target.says_leaving = self._leaving.has(target.name, record.started_ms)
+            target.has_stated_leaving = self._leaving.has(target.name, record.started_ms)
             target.is_withdrawn = self._withdrawals.has(target.start)
             self._mark_changed()
             return True
@@ -305,9 +305,9 @@
         """Apply a target's statement that it is leaving; return whether it changed anything."""
         self._leaving.add(incarnation, started_ms, until=until)
         target = self._targets.get(incarnation)
-        if target is None or target.record.started_ms != started_ms or target.says_leaving:
+        if target is None or target.record.started_ms != started_ms or target.has_stated_leaving:
             return False
-        target.says_leaving = True
+        target.has_stated_leaving = True
         self._mark_changed()
         return True
 
@@ -315,7 +315,7 @@
         """Drop expired statements that targets are leaving; return the names of those targets."""
         expired = self._leaving.expire(now)
         for target in filter(None, map(self._targets.get, expired)):
-            target.says_leaving = self._leaving.has(target.name, target.record.started_ms)
+            target.has_stated_leaving = self._leaving.has(target.name, target.record.started_ms)
             self._mark_changed()
         return expired
 
@@ -324,7 +324,7 @@
         withdrawn, self._newly_withdrawn = self._newly_withdrawn, []
         return withdrawn
 
-    def withdraw(self, start: TargetStart, view: StoreView, *, until: float) -> bool:
+    def apply_withdrawal_notice(self, start: TargetStart, view: StoreView, *, until: float) -> bool:
         """Apply another entry's notice that the store withdrew a target.
 
         Returns
@@ -384,7 +384,7 @@
             return False
         if incarnation in self.lapsed:
             return False
-        is_leaving = target.record.is_draining or target.says_leaving
+        is_leaving = target.record.is_draining or target.has_stated_leaving
         lapse = None if is_leaving else self._find_lapse(now)
         if lapse is not None:
             self.lapsed[incarnation] = lapse
--- a/halldoor/core/targets/changes.py
+++ b/halldoor/core/targets/changes.py
@@ -82,7 +82,7 @@
     record: TargetRecord
 
 
-class TargetGone(NamedTuple):
+class TargetRemoved(NamedTuple):
     """A target's record was removed."""
 
     incarnation: str
@@ -101,7 +101,7 @@
     member: MemberRecord
 
 
-class MemberGone(NamedTuple):
+class MemberRemoved(NamedTuple):
     """An entry's record was removed."""
 
     name: str
@@ -113,7 +113,7 @@
     record: EvidenceRecord
 
 
-class EvidenceGone(NamedTuple):
+class EvidenceRemoved(NamedTuple):
     """The record of evidence against a request was removed."""
 
     digest: str
@@ -122,12 +122,12 @@
 Change = (
     RoutingSeen
     | TargetSeen
-    | TargetGone
+    | TargetRemoved
     | EvacuationSet
     | MemberSeen
-    | MemberGone
+    | MemberRemoved
     | EvidenceSeen
-    | EvidenceGone
+    | EvidenceRemoved
 )
 
 
@@ -136,7 +136,7 @@
     match change:
         case TargetSeen(record):
             return record.is_draining
-        case TargetGone():
+        case TargetRemoved():
             return True
         case _:
             return False
--- a/halldoor/core/targets/choice.py
+++ b/halldoor/core/targets/choice.py
@@ -185,9 +185,9 @@
         for place, target in candidates:
             if self._is_spare(target, now) and self._reserve_request(target, now):
                 return self._estimate(target, key, levels, place, now)
-        rest_s = self.find_backoff(order, now)
-        if rest_s > 0:
-            return NoTarget("all rest", passed, rest_s, is_asked=True)
+        backoff_s = self.find_backoff(order, now)
+        if backoff_s > 0:
+            return NoTarget("all rest", passed, backoff_s, is_asked=True)
         waits = [choice.estimate.wait_s for choice in estimated]
         waits = waits or [self._rates.find_wait(target, now) for target in order]
         return NoTarget("no room", passed, min((w for w in waits if w > 0), default=0.0))
@@ -205,7 +205,7 @@
         return min(map(self._latency.get_shortest_travel, halls), default=None)
 
     def _estimate(
-        self, target: Target, key: str, levels: WorkLevels, place: int, now: float
+        self, target: Target, key: str, levels: WorkLevels, position: int, now: float
     ) -> Choice:
         """Estimate a target's cost for a request."""
         estimate = self._costs.estimate(
@@ -213,10 +213,10 @@
             key,
             levels,
             on_target=self._estimate_in_flight(target, now),
-            place=place,
+            position=position,
             now=now,
         )
-        return Choice(target, estimate, place)
+        return Choice(target, estimate, position)
 
     def _find_refusal_reason(
         self, choice: Choice, key: str, route: Route, levels: WorkLevels
--- a/halldoor/core/targets/cost.py
+++ b/halldoor/core/targets/cost.py
@@ -84,7 +84,7 @@
         levels: WorkLevels,
         *,
         on_target: float,
-        place: int,
+        position: int,
         now: float,
     ) -> Estimate:
         """Estimate the cost of a request at a target.
@@ -98,14 +98,14 @@
         """
         slots = max(1, target.record.slots)
         wait_s = max(0.0, on_target - slots + 1) * levels.mean_s / slots
-        work_s = self._estimate_work(target, key, levels, place, now)
+        work_s = self._estimate_work(target, key, levels, position, now)
         evenness_s = 0.0 if key else EVENNESS_WEIGHT * min(1.0, on_target / slots) * levels.mean_s
         return Estimate(
             on_target, self._latency.get_travel(target.record.hall), wait_s, work_s, evenness_s
         )
 
     def _estimate_work(
-        self, target: Target, key: str, levels: WorkLevels, place: int, now: float
+        self, target: Target, key: str, levels: WorkLevels, position: int, now: float
     ) -> float:
         """Return the expected work time, in seconds.
 
@@ -115,7 +115,7 @@
             return JUST_STARTED_FACTOR * levels.cold_s
         if not key:
             return levels.mean_s
-        is_warm = place == 0 or self._latency.has_answered(target.name, key)
+        is_warm = position == 0 or self._latency.has_answered(target.name, key)
         if is_warm:
             return levels.warm_s
         assumed_s = ASSUMED_COLD_FACTOR * levels.warm_s if levels.is_known else 0.0
--- a/halldoor/core/targets/outlier.py
+++ b/halldoor/core/targets/outlier.py
@@ -61,7 +61,7 @@
     def __init__(self) -> None:
         self.failures = 0.0
         self.ejections = 0
-        self.sheds = 0
+        self.pause_doublings = 0
         self.ejected_until = 0.0
         self.average_s = 0.0
         self.samples = 0
@@ -87,7 +87,7 @@
         results = self._results.setdefault(target, _Results())
         usual_s = self._service_average_s.get(service, took_s)
         self._service_average_s[service] = usual_s + SERVICE_WEIGHT * (took_s - usual_s)
-        results.sheds = 0
+        results.pause_doublings = 0
         results.samples += 1
         if results.samples == 1:
             results.average_s = took_s
@@ -108,7 +108,7 @@
         return is_known and results.average_s > SLOW_FACTOR * usual_s
 
     def add_failure(
-        self, target: str, now: float, *, is_dead: bool = False, is_slow: bool = False
+        self, target: str, now: float, *, is_unreachable: bool = False, is_slow: bool = False
     ) -> bool:
         """Record a failure; True if it ejects the target.
 
@@ -123,7 +123,7 @@
         if not self._settings.ejects_failing:
             return False
         results.failures += SLOW_WEIGHT if is_slow else 1.0
-        if results.failures < FAILURES_TO_EJECT and not is_dead and not results.ejections:
+        if results.failures < FAILURES_TO_EJECT and not is_unreachable and not results.ejections:
             return False
         return self._eject(target, results, now)
 
@@ -143,9 +143,9 @@
         results = self._results.setdefault(target, _Results())
         if now < results.ejected_until:
             return  # The request was sent before the pause.
-        pause_s = min(SHED_PAUSE_LIMIT_S, SHED_PAUSE_S * 2**results.sheds)
+        pause_s = min(SHED_PAUSE_LIMIT_S, SHED_PAUSE_S * 2**results.pause_doublings)
         if pause_s < SHED_PAUSE_LIMIT_S:
-            results.sheds += 1
+            results.pause_doublings += 1
         results.ejected_until = now + pause_s
         self._ejected[target] = results.ejected_until
 
--- a/halldoor/core/targets/regionflow.py
+++ b/halldoor/core/targets/regionflow.py
@@ -82,11 +82,11 @@
     """
     if min(before.total(), after.total()) < REQUESTS_MIN:
         return None
-    by_region = [_sum(counts, 0) for counts in (before, after)]
+    by_region = [_sum_by_item(counts, 0) for counts in (before, after)]
     part = measure_move(*by_region)
     if part < MOVED_MIN:
         return None
-    by_reason = [_sum(counts, 1) for counts in (before, after)]
+    by_reason = [_sum_by_item(counts, 1) for counts in (before, after)]
     reasons = {
         reason: abs(by_reason[1][reason] / after.total() - by_reason[0][reason] / before.total())
         for reason in RunReason
@@ -106,9 +106,9 @@
     return sum(abs(change) for change in changes) / 2
 
 
-def _sum(counts: Counter[tuple[str, RunReason]], place: int) -> Counter[str]:
+def _sum_by_item(counts: Counter[tuple[str, RunReason]], item: int) -> Counter[str]:
     """Sum counts by one item of their (region, reason) keys: 0 or 1."""
     summed: Counter[str] = Counter()
     for name, count in counts.items():
-        summed[name[place]] += count
+        summed[name[item]] += count
     return summed
--- a/halldoor/core/targets/removals.py
+++ b/halldoor/core/targets/removals.py
@@ -11,11 +11,11 @@
 from halldoor.core.targets.changes import (
     Change,
     EvacuationSet,
-    EvidenceGone,
+    EvidenceRemoved,
     EvidenceSeen,
-    MemberGone,
+    MemberRemoved,
     MemberSeen,
-    TargetGone,
+    TargetRemoved,
     TargetSeen,
 )
 
@@ -42,10 +42,10 @@
     halls = {c.hall for c in changes if isinstance(c, EvacuationSet)}
     digests = {c.record.digest for c in changes if isinstance(c, EvidenceSeen)}
     return [
-        *(TargetGone(name) for name in targets if name not in named),
-        *(MemberGone(name) for name in members if name not in entries),
+        *(TargetRemoved(name) for name in targets if name not in named),
+        *(MemberRemoved(name) for name in members if name not in entries),
         *(EvacuationSet(hall, False) for hall in evacuated if hall not in halls),
-        *(EvidenceGone(digest) for digest in suspects if digest not in digests),
+        *(EvidenceRemoved(digest) for digest in suspects if digest not in digests),
     ]
 
 
@@ -63,7 +63,7 @@
         due_at : float
             Time to apply the removals, in seconds of the steady clock.
         """
-        at_once: list[Change] = [c for c in removals if isinstance(c, TargetGone)]
+        at_once: list[Change] = [c for c in removals if isinstance(c, TargetRemoved)]
         self._due_at = {c: due_at for c in removals if c not in at_once}
         return at_once
 
@@ -75,9 +75,9 @@
             case EvacuationSet(hall, True):
                 self._due_at.pop(EvacuationSet(hall, False), None)
             case MemberSeen(member):
-                self._due_at.pop(MemberGone(member.name), None)
+                self._due_at.pop(MemberRemoved(member.name), None)
             case EvidenceSeen(record):
-                self._due_at.pop(EvidenceGone(record.digest), None)
+                self._due_at.pop(EvidenceRemoved(record.digest), None)
 
     def pop_due(self, now: float) -> list[Change]:
         """Remove and return the removals that are due."""
--- a/halldoor/core/targets/rests.py
+++ b/halldoor/core/targets/rests.py
@@ -63,13 +63,13 @@
         """Check whether any target is in a back-off, or in the ramp-up after one."""
         return bool(self._backoffs)
 
-    def add(self, start: StartKey, rest_s: float, now: float) -> bool:
+    def add(self, start: StartKey, backoff_s: float, now: float) -> bool:
         """Apply a back-off that a target requested; False if one was in force already.
 
         Of overlapping back-offs the longer one counts, and they share their probes.
         """
         known = self._backoffs.get(start)
-        until = now + min(rest_s, BACKOFF_MAX_S)
+        until = now + min(backoff_s, BACKOFF_MAX_S)
         if known is not None and now < known.until:
             self._backoffs[start] = known._replace(until=max(until, known.until), sound_looks=0)
             return False
--- a/halldoor/core/targets/sharers.py
+++ b/halldoor/core/targets/sharers.py
@@ -67,12 +67,12 @@
         """
         if self._started_at is None:
             self._started_at = now
-        self._drop_absent(now)
+        self._drop_removed(now)
         is_starting = now - self._started_at < young_s
         known = len(self._registered) + len(self._removed_at)
         return max(1, known, ASSUMED_ENTRIES if is_starting else 1)
 
-    def _drop_absent(self, now: float) -> None:
+    def _drop_removed(self, now: float) -> None:
         """Drop the entries whose record was removed more than `SHARE_KEPT_S` ago."""
         dropped = [name for name, at in self._removed_at.items() if now - at > SHARE_KEPT_S]
         for name in dropped:
--- a/halldoor/core/targets/split.py
+++ b/halldoor/core/targets/split.py
@@ -21,32 +21,32 @@
 
     def __init__(self) -> None:
         # By route and weights: requests by which each part exceeds its weight.
-        self._ahead: dict[tuple[str, tuple[SplitPart, ...]], dict[str, float]] = {}
+        self._excess: dict[tuple[str, tuple[SplitPart, ...]], dict[str, float]] = {}
 
     def choose(self, route: Route, key: str) -> str:
         """Choose the service for one request and count it."""
         if len(route.parts) == 1:
             return route.parts[0].service
         total = sum(part.weight for part in route.parts)
-        ahead = self._ahead.setdefault((route.name, route.parts), {})
-        chosen = _prefer(route, key, total)
-        if ahead.get(chosen, 0.0) > DRIFT_LIMIT - 1.0:
+        excess = self._excess.setdefault((route.name, route.parts), {})
+        chosen = _find_preferred_service(route, key, total)
+        if excess.get(chosen, 0.0) > DRIFT_LIMIT - 1.0:
             chosen = min(
                 (p.service for p in route.parts if p.weight > 0),
-                key=lambda service: (ahead.get(service, 0.0), service),
+                key=lambda service: (excess.get(service, 0.0), service),
             )
         for part in route.parts:
-            ahead[part.service] = ahead.get(part.service, 0.0) - part.weight / total
-        ahead[chosen] += 1.0
+            excess[part.service] = excess.get(part.service, 0.0) - part.weight / total
+        excess[chosen] += 1.0
         return chosen
 
     def forget_except(self, routes: tuple[Route, ...]) -> None:
         """Drop the counts of routes that were removed or have other weights now."""
         kept = {(route.name, route.parts) for route in routes}
-        self._ahead = {key: value for key, value in self._ahead.items() if key in kept}
+        self._excess = {key: value for key, value in self._excess.items() if key in kept}
 
 
-def _prefer(route: Route, key: str, total: float) -> str:
+def _find_preferred_service(route: Route, key: str, total: float) -> str:
     """Return the service that a key prefers; keys are spread in proportion to the weights."""
     point = hash_to_unit(f"{route.name}\0{key}") * total
     for part in route.parts:
--- a/halldoor/core/targets/target.py
+++ b/halldoor/core/targets/target.py
@@ -28,7 +28,7 @@
         self.record = record
         self.cold_until = cold_until
         self.stated_at = -math.inf
-        self.says_leaving = False
+        self.has_stated_leaving = False
         self.is_withdrawn = False
 
     @property
@@ -39,7 +39,7 @@
     @property
     def is_draining(self) -> bool:
         """Whether it is about to stop, by its record, its answers or another entry's notice."""
-        return self.record.is_draining or self.says_leaving or self.is_withdrawn
+        return self.record.is_draining or self.has_stated_leaving or self.is_withdrawn
 
     @property
     def name(self) -> str:
--- a/halldoor/core/teams/gate.py
+++ b/halldoor/core/teams/gate.py
@@ -203,7 +203,7 @@
     return bucket
 
 
-def _compute_retry_after(part: float) -> float:
+def _compute_retry_after(admitted_fraction: float) -> float:
     """Return when a refused caller should retry, in seconds: later if more requests are refused.
 
     Parameters
@@ -211,5 +211,5 @@
     admitted_fraction : float
         Fraction of the team's requests that is admitted now, 0 to 1.
     """
-    excess = 1.0 / max(part, 0.01) - 1.0
+    excess = 1.0 / max(admitted_fraction, 0.01) - 1.0
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, RECOVERY_S * excess))
--- a/halldoor/core/teams/ledger.py
+++ b/halldoor/core/teams/ledger.py
@@ -83,7 +83,7 @@
         self._asked_per_s += count.asked / DEMAND_S
         self.level = max(-MAX_DEBT_S * limit.rate_per_s, self.level - count.admitted)
 
-    def find_part(self, limit: TeamLimit, *, unreported: float) -> float:
+    def compute_admitted_fraction(self, limit: TeamLimit, *, unreported: float) -> float:
         """Return the fraction of the team's requests to admit, from 0 to 1.
 
         Parameters
@@ -135,7 +135,7 @@
         self._limits: Mapping[str, TeamLimit] = {}
         self._buckets: dict[str, _Bucket] = {}
         self._reporters: dict[str, _Reporter] = {}
-        self._part_left = 1.0
+        self._unreserved_fraction = 1.0
         self._shares: tuple[Share, ...] = ()
         self._computed_at = -math.inf
 
@@ -178,7 +178,9 @@
         limit = self._limits.get(team)
         if limit is None:
             return None
-        return TeamLimit(limit.rate_per_s * self._part_left, limit.burst * self._part_left)
+        return TeamLimit(
+            limit.rate_per_s * self._unreserved_fraction, limit.burst * self._unreserved_fraction
+        )
 
     def is_newly_started(self, now: float, *, period_s: float) -> bool:
         """Check whether this collector has counted for too short a time to answer."""
@@ -200,7 +202,9 @@
         if now - self._computed_at < REUSE_PERIODS * period_s:
             return self._shares
         self._computed_at = now
-        self._part_left = self._find_part_left(now, entries=entries, period_s=period_s)
+        self._unreserved_fraction = self._compute_unreserved_fraction(
+            now, entries=entries, period_s=period_s
+        )
         unreported = self._estimate_unreported(now, period_s=period_s)
         shares = []
         for name, bucket in self._buckets.items():
@@ -208,7 +212,7 @@
             if limit is None:
                 continue
             bucket.advance(limit, now)
-            part = bucket.find_part(limit, unreported=unreported[name])
+            part = bucket.compute_admitted_fraction(limit, unreported=unreported[name])
             if part < 1.0:
                 shares.append(Share(name, part))
         self._shares = tuple(shares)
@@ -252,7 +256,7 @@
             total.update({count.team: count.admitted for count in reporter.last_counts})
         return Counter({team: n / len(reporting) for team, n in total.items()})
 
-    def _find_part_left(self, now: float, *, entries: int, period_s: float) -> float:
+    def _compute_unreserved_fraction(self, now: float, *, entries: int, period_s: float) -> float:
         """Return the fraction of the quotas that is not reserved for silent entries.
 
         A silent entry admits its equal part.  A registered entry that never reported counts as
--- a/halldoor/entry/gossip.py
+++ b/halldoor/entry/gossip.py
@@ -172,12 +172,12 @@
         with self._lock:
             me = self._membership.me
             is_near = self._find_hall(peer) == me.hall
-            news = self._membership.list_updates(peer) if is_near else [me._replace(reports=())]
+            updates = self._membership.list_updates(peer) if is_near else [me._replace(reports=())]
         return idl.Gossip(
             sender=me.name,
             hall=me.hall,
             revision=me.revision,
-            members=[to_member(m) for m in news],
+            members=[to_member(m) for m in updates],
         )
 
     def _find_hall(self, name: str) -> str:
--- a/halldoor/entry/local.py
+++ b/halldoor/entry/local.py
@@ -122,7 +122,7 @@
         if obstacle is not None:
             return obstacle
         with self._budget_lock:
-            return None if self._budget.take_retry() else RetryObstacle.BUDGET
+            return None if self._budget.reserve_retry() else RetryObstacle.BUDGET
 
     def _send(self, admission: Admission, request: Request, body: Body) -> Answer:
         """Send to one target; release its slot and record its health from the result."""
--- a/halldoor/entry/orders.py
+++ b/halldoor/entry/orders.py
@@ -25,9 +25,9 @@
 from halldoor.entry.dispatch import Refused, Served
 from halldoor.entry.outcome import HallRefusal
 from halldoor.entry.refusals import (
-    refuse_forgotten,
-    refuse_gone,
+    refuse_dropped_outcome,
     refuse_platform_down,
+    refuse_stopped_issuer,
     refuse_ticket,
     refuse_unreachable,
     refuse_with_ticket,
@@ -115,13 +115,13 @@
     def issue_claimed(self, operation: str, incarnation: str) -> Result[str, Refusal]:
         """Issue the ticket of an id on behalf of a peer that found it claimed by this process."""
         if incarnation != self._ledger.incarnation:
-            return Failure(refuse_gone())
+            return Failure(refuse_stopped_issuer())
         return self._issue(operation)
 
     def _issue(self, operation: str) -> Result[str, Refusal]:
         """Issue a ticket from this ledger; for an id, the one issued when it was claimed."""
         if operation and not self._has_ledger_entry(operation):
-            return Failure(refuse_forgotten())
+            return Failure(refuse_dropped_outcome())
         with self._lock:
             text = self._ledger.issue(operation, now=time.monotonic())
         if text is None:
@@ -143,7 +143,7 @@
         """Fetch the ticket of an id from the process that holds its claim."""
         entry = self._find_entry(holder.issuer)
         if entry is None:
-            return Failure(refuse_gone())
+            return Failure(refuse_stopped_issuer())
         try:
             reply = self._peers.call(
                 entry.wire,
@@ -207,7 +207,7 @@
         """Forward an order with a caller's own id to the process that holds its claim."""
         entry = self._find_entry(holder.issuer)
         if entry is None:
-            return Failure(refuse_gone())
+            return Failure(refuse_stopped_issuer())
         # The incarnation is sent in the ticket field, so that a restarted entry refuses.
         return self._forward(entry, request, body, f"{_CLAIM_PREFIX}{holder.incarnation}")
 
@@ -222,10 +222,10 @@
         if ticket.issuer != self._ledger.issuer:
             entry = self._find_entry(ticket.issuer)
             if entry is None:
-                return Failure(refuse_gone())
+                return Failure(refuse_stopped_issuer())
             return self._forward(entry, request, body, text)
         if ticket.incarnation != self._ledger.incarnation:
-            return Failure(refuse_gone())
+            return Failure(refuse_stopped_issuer())
         if not self._ledger.is_genuine(ticket, payload, mac):
             return Failure(refuse_ticket("It is not genuine."))
         return self._run_once(ticket, request, body)
@@ -234,7 +234,7 @@
         """Run an order that another entry forwarded to this issuer; never forward it again."""
         if text.startswith(_CLAIM_PREFIX):
             if text[len(_CLAIM_PREFIX) :] != self._ledger.incarnation:
-                return Failure(refuse_gone())
+                return Failure(refuse_stopped_issuer())
             return self.run_claimed(request, body)
         read = decode_ticket(text)
         if read is None or read[0].issuer != self._ledger.issuer:
@@ -250,11 +250,11 @@
         """
         operation = request.operation_id
         if not self._has_ledger_entry(operation):
-            return Failure(refuse_forgotten())
+            return Failure(refuse_dropped_outcome())
         with self._lock:
             ledger_entry = self._ledger.find(operation)
             if ledger_entry is None:
-                return Failure(refuse_forgotten())
+                return Failure(refuse_dropped_outcome())
             is_later = ledger_entry.state == State.ISSUED and ledger_entry.attempt > 1
             if is_later or ledger_entry.state == State.NOT_RUN:
                 fresh = self._ledger.issue(operation, now=time.monotonic())
--- a/halldoor/entry/refusals.py
+++ b/halldoor/entry/refusals.py
@@ -12,7 +12,7 @@
     )
 
 
-def refuse_gone() -> Refusal:
+def refuse_stopped_issuer() -> Refusal:
     """Refuse a ticket whose issuing process has stopped: its record of the outcome is lost."""
     return refuse_unknown(
         Reason.ISSUER_GONE,
@@ -20,7 +20,7 @@
     )
 
 
-def refuse_forgotten() -> Refusal:
+def refuse_dropped_outcome() -> Refusal:
     """Refuse an id claimed by this process whose outcome has been removed from the ledger."""
     return refuse_unknown(
         Reason.TICKET_USED,
--- a/halldoor/gateway/attempt.py
+++ b/halldoor/gateway/attempt.py
@@ -18,7 +18,7 @@
 """Least ``Retry-After`` for a refused caller, in seconds: the duration of a quick request."""
 RETRY_SPREAD = 0.25
 """Fraction by which ``Retry-After`` is randomized, so that callers don't return all at once."""
-REST_SPREAD = 0.5
+BACKOFF_SPREAD = 0.5
 """Fraction by which ``Retry-After`` may grow when all targets requested a back-off; it never
 shrinks, since no target serves earlier."""
 RETRY_AFTER_ROUNDING_S = 0.01
@@ -175,11 +175,11 @@
     """
 
     def __init__(
-        self, head: Head, entrance: AdmittedRequest, service: str, key: str, attempt_id: str
+        self, head: Head, admitted: AdmittedRequest, service: str, key: str, attempt_id: str
     ) -> None:
         self.head = head
-        self.route = entrance.route
-        self.team = entrance.team
+        self.route = admitted.route
+        self.team = admitted.team
         self.service = service
         self.key = key
         self.attempt_id = attempt_id
@@ -227,7 +227,9 @@
             return RequestResult(503, reason, retry_after_s=after_s)
         return RequestResult(504 if is_late else 502, reason)
 
-    def build_failed_result(self, obstacle: RetryObstacle, *, rest_s: float = 0.0) -> RequestResult:
+    def build_failed_result(
+        self, obstacle: RetryObstacle, *, backoff_s: float = 0.0
+    ) -> RequestResult:
         """Build the result of a request whose last attempt failed and may not be retried.
 
         Parameters
@@ -240,8 +242,8 @@
         return self.build_unanswered_result(
             reason,
             is_late=obstacle is RetryObstacle.NO_TIME,
-            slot_free_after_s=rest_s,
-            is_asked=rest_s > 0,
+            slot_free_after_s=backoff_s,
+            is_asked=backoff_s > 0,
         )
 
 
@@ -258,9 +260,9 @@
     return after_s * generator.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD)
 
 
-def randomize_requested_rest(after_s: float, generator: Random) -> float:
+def randomize_requested_backoff(after_s: float, generator: Random) -> float:
     """Randomize a requested back-off upwards only, since no target serves earlier."""
-    return after_s * generator.uniform(1.0, 1.0 + REST_SPREAD) + RETRY_AFTER_ROUNDING_S
+    return after_s * generator.uniform(1.0, 1.0 + BACKOFF_SPREAD) + RETRY_AFTER_ROUNDING_S
 
 
 def build_gateway_answer(
--- a/halldoor/gateway/exchanges.py
+++ b/halldoor/gateway/exchanges.py
@@ -17,7 +17,7 @@
 from halldoor.gateway.limits import LimitExchange
 from halldoor.gateway.metrics import GatewayMetrics
 from halldoor.gateway.notices import NoticeSender
-from halldoor.gateway.rests import RestReader
+from halldoor.gateway.rests import BackoffReader
 from halldoor.gateway.settings import GatewaySettings
 from halldoor.gateway.sharing import ObservationSharing
 
@@ -67,9 +67,9 @@
         )
         self.limits = LimitExchange(catalog, chooser.limits, sender, port, log=log, metrics=metrics)
         self.leaving = LeavingExchange(catalog, sender, port, log=log, metrics=metrics)
-        rests = RestReader(chooser.backoffs, log=log, metrics=metrics)
+        backoffs = BackoffReader(chooser.backoffs, log=log, metrics=metrics)
         feedback.on_statement.append(self.limits.apply_statement)
-        feedback.on_any_statement += [self.leaving.apply_statement, rests.apply_statement]
+        feedback.on_any_statement += [self.leaving.apply_statement, backoffs.apply_statement]
 
     def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return the coroutines of the exchanges, each to be run until cancelled."""
--- a/halldoor/gateway/feedback.py
+++ b/halldoor/gateway/feedback.py
@@ -162,7 +162,7 @@
                     self._outliers.add_shed(name, now)
                 return AttemptResult.NOT_RUN, str(status)
             case ConnectFailed(detail):
-                self.add_failure(name, now, detail, is_dead=True)
+                self.add_failure(name, now, detail, is_unreachable=True)
                 return AttemptResult.NOT_REACHED, detail
             case NotSent():
                 return AttemptResult.NOT_REACHED, "no time left"
@@ -232,7 +232,13 @@
         )
 
     def add_failure(
-        self, name: str, now: float, detail: str, *, is_dead: bool = False, is_slow: bool = False
+        self,
+        name: str,
+        now: float,
+        detail: str,
+        *,
+        is_unreachable: bool = False,
+        is_slow: bool = False,
     ) -> None:
         """Count a failure of a target, and log it if the target is ejected.
 
@@ -243,7 +249,7 @@
         is_slow : bool, optional
             Whether the target was too slow instead of failing.
         """
-        if self._outliers.add_failure(name, now, is_dead=is_dead, is_slow=is_slow):
+        if self._outliers.add_failure(name, now, is_unreachable=is_unreachable, is_slow=is_slow):
             self._log.event("targets", "Ejected a failing target.", target=name, cause=detail)
 
     def forget_target(self, name: str) -> None:
--- a/halldoor/gateway/flows.py
+++ b/halldoor/gateway/flows.py
@@ -60,7 +60,9 @@
             store_age_ms=round((now - self._catalog.store_contact_at) * 1000),
         )
 
-    def _find_reason(self, route: Route, region: str, rank: int, *, is_retry: bool) -> RunReason:
+    def _find_reason(
+        self, route: Route, region: str, position: int, *, is_retry: bool
+    ) -> RunReason:
         """Return why a request runs in the target's region."""
         if region == self._own_region:
             return RunReason.NEAR
@@ -68,4 +70,4 @@
             return RunReason.HOME
         if is_retry:
             return RunReason.RETRIED
-        return RunReason.SPILLED if rank else RunReason.FIRST
+        return RunReason.SPILLED if position else RunReason.FIRST
--- a/halldoor/gateway/following.py
+++ b/halldoor/gateway/following.py
@@ -7,11 +7,11 @@
 from halldoor.core.targets.catalog import Catalog
 from halldoor.core.targets.changes import (
     Change,
-    EvidenceGone,
+    EvidenceRemoved,
     EvidenceSeen,
-    MemberGone,
+    MemberRemoved,
     MemberSeen,
-    TargetGone,
+    TargetRemoved,
     TargetSeen,
 )
 from halldoor.gateway.coldstate import ColdStateExchange
@@ -65,23 +65,23 @@
         match change:
             case TargetSeen(record) if self._catalog.pop_restart(record.incarnation):
                 self._dispatch_removal(record.incarnation)
-            case TargetGone(incarnation) if self._catalog.find_target(incarnation) is None:
+            case TargetRemoved(incarnation) if self._catalog.find_target(incarnation) is None:
                 self._dispatch_removal(incarnation)
             case EvidenceSeen(evidence):
                 self._quarantine.apply_stored_record(evidence)
-            case EvidenceGone(digest):
+            case EvidenceRemoved(digest):
                 self._quarantine.remove_stored_record(digest)
             case MemberSeen():
                 self._quarantine.update_collectors()
-            case MemberGone(name) if name == self._own_name and not self._is_stopping():
+            case MemberRemoved(name) if name == self._own_name and not self._is_stopping():
                 self._log.event("membership", "Own record is gone; writing it again.")
                 self._registration.rewrite_record()
-            case MemberGone():
+            case MemberRemoved():
                 self._quarantine.update_collectors()
 
     def _dispatch_removal(self, incarnation: str) -> None:
         """Notify the components that one incarnation of a target was removed."""
         self._feedback.forget_target(incarnation)
-        self._quarantine.record_target_gone(incarnation)
+        self._quarantine.record_target_removed(incarnation)
         self._cold_state.forget(incarnation)
         self._limits.forget(incarnation)
--- a/halldoor/gateway/maintenance.py
+++ b/halldoor/gateway/maintenance.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from halldoor.core.targets.catalog import Catalog
-from halldoor.core.targets.changes import Change, TargetGone
+from halldoor.core.targets.changes import Change, TargetRemoved
 from halldoor.gateway.eventlog import EventLog
 from halldoor.gateway.pool import TargetPool
 
@@ -74,12 +74,12 @@
                 self._on_suspension()
             self._ticked_at = now
             self._catalog.contact.record_tick(now)
-            self._drop_lapsed(now)
+            self._apply_due_changes(now)
             tick += 1
             if tick % SWEEP_TICKS == 0:
                 self._pool.sweep()
 
-    def _drop_lapsed(self, now: float) -> None:
+    def _apply_due_changes(self, now: float) -> None:
         """Remove lapsed targets, apply postponed removals and drop expired leaving statements.
 
         A target has lapsed if its record expired in an outage of the store.  It is removed unless
@@ -89,7 +89,7 @@
         for name in self._catalog.drop_lapsed(now):
             away_ms = round(lapses[name].away_s * 1000)
             self._log.event("targets", "Record stayed away.", target=name, store_away_ms=away_ms)
-            self._on_change(TargetGone(name))
+            self._on_change(TargetRemoved(name))
         for change in self._catalog.apply_postponed(now):
             self._on_change(change)
         for name in self._catalog.expire_leaving(now):
--- a/halldoor/gateway/plain.py
+++ b/halldoor/gateway/plain.py
@@ -10,12 +10,12 @@
 from halldoor.core.targets.changes import (
     Change,
     EvacuationSet,
-    MemberGone,
     MemberRecord,
+    MemberRemoved,
     MemberSeen,
     RoutingSeen,
-    TargetGone,
     TargetRecord,
+    TargetRemoved,
     TargetSeen,
 )
 from halldoor.core.targets.route import (
@@ -185,12 +185,12 @@
             return EvacuationSet(name, value is not None)
         if kind == "targets":
             if value is None:
-                return TargetGone(name)
+                return TargetRemoved(name)
             target = _read(key, value, TargetModel)
             return TargetSeen(TargetRecord(incarnation=name, **msgspec.structs.asdict(target)))
         if kind == "entries":
             if value is None:
-                return MemberGone(name)
+                return MemberRemoved(name)
             member = _read(key, value, MemberModel)
             return MemberSeen(MemberRecord(name=name, **msgspec.structs.asdict(member)))
         return None
--- a/halldoor/gateway/quarantine.py
+++ b/halldoor/gateway/quarantine.py
@@ -154,7 +154,7 @@
                 self.record_unanswered(request, target)
             case ConnectFailed(is_refused=True):
                 # A full target ignores or resets connections; only a crashed one refuses them.
-                self.record_target_gone(target.name)
+                self.record_target_removed(target.name)
             case _:
                 return
 
@@ -181,7 +181,7 @@
         """Record that the caller disconnected or time ran out while a target had the request."""
         self._unanswered.add(request, target, _now())
 
-    def record_target_gone(self, incarnation: str) -> None:
+    def record_target_removed(self, incarnation: str) -> None:
         """Record that a target was removed: its unanswered requests may have crashed it."""
         for request, target, _ in self._unanswered.pop_crashed(incarnation, _now()):
             self.record_crash(request, target)
--- a/halldoor/gateway/records.py
+++ b/halldoor/gateway/records.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from halldoor.core.quarantine.record import EvidenceRecord, RecordedCrash
-from halldoor.core.targets.changes import Change, EvidenceGone, EvidenceSeen
+from halldoor.core.targets.changes import Change, EvidenceRemoved, EvidenceSeen
 from halldoor.gateway.store import StoredItem
 
 EVIDENCE_PREFIX = "halldoor/quarantine/"
@@ -63,7 +63,7 @@
     """
     digest = item.key.removeprefix(EVIDENCE_PREFIX)
     if item.value is None:
-        return EvidenceGone(digest)
+        return EvidenceRemoved(digest)
     model = msgspec.json.decode(item.value, type=EvidenceModel)
     ends = tuple(RecordedCrash(end.target, end.caller, end.at_ms) for end in model.ends)
     return EvidenceSeen(EvidenceRecord(digest, ends, tuple(model.cleared), model.was_sound))
--- a/halldoor/gateway/request.py
+++ b/halldoor/gateway/request.py
@@ -25,7 +25,7 @@
     TargetView,
     build_gateway_answer,
     parse_deadline_s,
-    randomize_requested_rest,
+    randomize_requested_backoff,
     randomize_retry_after,
 )
 from halldoor.gateway.body import read_request
@@ -143,14 +143,16 @@
     async def _admit_and_send(self, caller: CallerConnection, head: Head) -> None:
         """Admit a request, choose its service and deadline, send it and finish it."""
         attempt_id = find(head.headers, self._names.attempt_id).decode("latin-1")
-        entrance = self._access.admit(head, head.received_at)
-        if isinstance(entrance, Refusal):
-            self._refuse_unadmitted(caller, attempt_id, entrance)
+        admission = self._access.admit(head, head.received_at)
+        if isinstance(admission, Refusal):
+            self._refuse_unadmitted(caller, attempt_id, admission)
             return
-        route = entrance.route
+        route = admission.route
         key = find(head.headers, self._names.affinity_key).decode("latin-1")
         service = self._splitter.choose(route, key or attempt_id)
-        state = RequestState(head, entrance, service, key if route.has_affinity else "", attempt_id)
+        state = RequestState(
+            head, admission, service, key if route.has_affinity else "", attempt_id
+        )
         caller_s = parse_deadline_s(find(head.headers, self._names.deadline_ms))
         expires_at = head.received_at + min(caller_s, route.timeout_s)
         headers = self._exchanger.build_headers(
@@ -197,8 +199,10 @@
             if obstacle is not None:
                 if isinstance(outcome, WholeAnswer):
                     return self._forward_answer(caller, state, outcome.answer, target)
-                rest_s = self._chooser.find_backoff(self._catalog.list_usable(state.service), now)
-                return state.build_failed_result(obstacle, rest_s=rest_s)
+                backoff_s = self._chooser.find_backoff(
+                    self._catalog.list_usable(state.service), now
+                )
+                return state.build_failed_result(obstacle, backoff_s=backoff_s)
 
     def _find_obstacle(
         self, state: RequestState, outgoing: OutgoingRequest
@@ -329,7 +333,7 @@
     def _finish(self, caller: CallerConnection, state: RequestState, result: RequestResult) -> None:
         """Send the gateway's own answer unless a target's was forwarded; log and count."""
         if not result.target:
-            randomize = randomize_requested_rest if result.is_asked else randomize_retry_after
+            randomize = randomize_requested_backoff if result.is_asked else randomize_retry_after
             after_s = randomize(result.retry_after_s, self._random)
             caller.send(build_gateway_answer(result.status, result.outcome, retry_after_s=after_s))
         if not state.may_have_run:
--- a/halldoor/gateway/rests.py
+++ b/halldoor/gateway/rests.py
@@ -16,7 +16,7 @@
 """Lowest status that counts as a failure of the target."""
 
 
-class RestReader:
+class BackoffReader:
     """Reader of the back-offs that targets request in their answers.
 
     Parameters
@@ -25,8 +25,8 @@
         Table of current back-offs, to update.
     """
 
-    def __init__(self, rests: BackoffTable, *, log: EventLog, metrics: GatewayMetrics) -> None:
-        self._rests = rests
+    def __init__(self, backoffs: BackoffTable, *, log: EventLog, metrics: GatewayMetrics) -> None:
+        self._backoffs = backoffs
         self._log = log
         self._metrics = metrics
 
@@ -34,23 +34,25 @@
         """Start a back-off if the answer requests one; record a successful answer otherwise."""
         if statement.status not in REJECTION_STATUSES:
             if statement.status < SERVER_ERROR:
-                self._rests.add_success(target.start, now)
+                self._backoffs.add_success(target.start, now)
             return
         if not statement.retry_after:
             return
         try:
-            rest_s = parse_backoff(statement.retry_after, time.time())
+            backoff_s = parse_backoff(statement.retry_after, time.time())
         except (ValueError, OverflowError) as exc:
-            self._report_bad_rest(target, str(exc))
+            self._report_bad_backoff(target, str(exc))
             return
-        if rest_s > BACKOFF_MAX_S:
-            self._report_bad_rest(target, f"{rest_s:.0f} s of rest, {BACKOFF_MAX_S:.0f} at most")
-        if rest_s > 0 and self._rests.add(target.start, rest_s, now):
+        if backoff_s > BACKOFF_MAX_S:
+            self._report_bad_backoff(
+                target, f"{backoff_s:.0f} s of rest, {BACKOFF_MAX_S:.0f} at most"
+            )
+        if backoff_s > 0 and self._backoffs.add(target.start, backoff_s, now):
             self._log.event(
-                "targets", "A target requested a rest.", target=target.name, rest_s=rest_s
+                "targets", "A target requested a rest.", target=target.name, rest_s=backoff_s
             )
 
-    def _report_bad_rest(self, target: Target, cause: str) -> None:
+    def _report_bad_backoff(self, target: Target, cause: str) -> None:
         """Log and count a requested back-off that is unreadable or too long."""
         self._metrics.add_bad_statement("retry_after")
         self._log.event("targets", "Bad statement.", target=target.name, cause=cause)
--- a/halldoor/gateway/retries.py
+++ b/halldoor/gateway/retries.py
@@ -74,7 +74,7 @@
         if not state.attempts[-1].result.was_sent:
             return None
         entries = self._catalog.count_sharers(now)
-        if self._get_share(state.service).take_retry(now, entries=entries):
+        if self._get_share(state.service).reserve_retry(now, entries=entries):
             return None
         return RetryObstacle.BUDGET
 
--- a/halldoor/gateway/storenotices.py
+++ b/halldoor/gateway/storenotices.py
@@ -190,7 +190,9 @@
         if own.has_reached(view):
             return
         for start in notice.withdrawn:
-            if not self._catalog.withdraw(start, view, until=now + WITHDRAWAL_NOTICE_S):
+            if not self._catalog.apply_withdrawal_notice(
+                start, view, until=now + WITHDRAWAL_NOTICE_S
+            ):
                 continue
             self._queue(start, view, learned_at=now - notice.age_s)
             self._log.event(
--- a/halldoor/gateway/sync.py
+++ b/halldoor/gateway/sync.py
@@ -9,10 +9,10 @@
 from halldoor.core.targets.changes import (
     Change,
     EvacuationSet,
-    MemberGone,
+    MemberRemoved,
     MemberSeen,
     RoutingSeen,
-    TargetGone,
+    TargetRemoved,
     TargetSeen,
     is_target_withdrawal,
 )
@@ -306,7 +306,7 @@
         now = asyncio.get_running_loop().time()
         self._catalog.record_contact(proven_at)
         if self._has_lost_contact:
-            self._log.event("store", "Contact is restored.", store_away_ms=self._store_away_ms)
+            self._log.event("store", "Contact is restored.", store_away_ms=self._outage_ms)
         self._has_lost_contact = self.is_unconfirmed = False
         return now
 
@@ -318,7 +318,7 @@
         return now
 
     @property
-    def _store_away_ms(self) -> int:
+    def _outage_ms(self) -> int:
         """Length of the store's outage as this entry knows it, in milliseconds; 0 without one."""
         now = asyncio.get_running_loop().time()
         return round(self._catalog.contact.find_outage(now).length_s * 1000)
@@ -366,13 +366,13 @@
                     cold_left_s=record.cold_left_s,
                     revision=revision,
                 )
-            case TargetGone(incarnation):
+            case TargetRemoved(incarnation):
                 is_lapsed = incarnation in self._catalog.lapsed
                 event(
                     "targets",
                     "Record lapsed; used last." if is_lapsed else "Gone.",
                     target=incarnation,
-                    store_away_ms=self._store_away_ms,
+                    store_away_ms=self._outage_ms,
                     revision=revision,
                 )
             case EvacuationSet(hall, is_evacuated):
@@ -380,7 +380,7 @@
                 event("targets", text, hall=hall, revision=revision)
             case MemberSeen(member):
                 event("membership", "Entry seen.", member=member.name, revision=revision)
-            case MemberGone(name):
+            case MemberRemoved(name):
                 event("membership", "Entry gone.", member=name, revision=revision)
 
 
--- a/halldoor/standins/modelentry.py
+++ b/halldoor/standins/modelentry.py
@@ -9,7 +9,7 @@
 
 from halldoor.core.settings import Address
 from halldoor.core.targets.catalog import Catalog, CatalogTimings
-from halldoor.core.targets.changes import Change, MemberGone, MemberRecord
+from halldoor.core.targets.changes import Change, MemberRecord, MemberRemoved
 from halldoor.gateway.caller import Answer, CallerConnection, Head
 from halldoor.gateway.datagrams import DatagramPort
 from halldoor.gateway.eventlog import EventLog
@@ -207,7 +207,7 @@
 
     def _note_change(self, change: Change) -> None:
         """Write the entry's own record again if it was removed from the store."""
-        if isinstance(change, MemberGone) and change.name == self.name:
+        if isinstance(change, MemberRemoved) and change.name == self.name:
             self.registration.rewrite_record()
 
     def start(self) -> None:
--- a/halldoor/tests/test_choice.py
+++ b/halldoor/tests/test_choice.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from halldoor.core.targets.changes import EvacuationSet, RoutingSeen, TargetGone, TargetSeen
+from halldoor.core.targets.changes import EvacuationSet, RoutingSeen, TargetRemoved, TargetSeen
 from halldoor.core.targets.choice import NoTarget
 from halldoor.core.targets.order import OrderSettings
 from halldoor.core.targets.route import (
@@ -63,7 +63,7 @@
         chooser = make_chooser(catalog)
         keys = [str(i) for i in range(60)]
         before = {k: chooser.choose(make_route(), "deck", k, 1.0).name for k in keys}
-        catalog.apply(TargetGone("t3"), 2.0)
+        catalog.apply(TargetRemoved("t3"), 2.0)
         after = {k: chooser.choose(make_route(), "deck", k, 2.0).name for k in keys}
         assert all(after[k] == before[k] for k in keys if before[k] != "t3")
 
@@ -243,8 +243,8 @@
     def test_targets_whose_records_expired_in_an_outage_are_kept_for_settle_s(self):
         catalog = make_catalog(2)
         record_store_return(catalog, 10.0)
-        catalog.apply(TargetGone("t0"), 10.0)
-        catalog.apply(TargetGone("t1"), 10.0)
+        catalog.apply(TargetRemoved("t0"), 10.0)
+        catalog.apply(TargetRemoved("t1"), 10.0)
         catalog.apply(TargetSeen(make_target("t0")), 11.0)
         assert catalog.drop_lapsed(11.5) == []
         assert catalog.drop_lapsed(12.1) == ["t1"]
@@ -255,7 +255,7 @@
         catalog = make_catalog(2)
         record_store_return(catalog, 10.0)
         catalog.contact.record_applied_until(10.0)
-        catalog.apply(TargetGone("t0"), 10.3)
+        catalog.apply(TargetRemoved("t0"), 10.3)
         assert [t.name for t in catalog.list_usable("deck")] == ["t1"]
 
     def test_records_missing_from_a_full_read_are_removed(self):
@@ -311,14 +311,14 @@
         catalog = make_catalog(4)
         chooser = make_chooser(catalog, ejected_share=0.5)
         for name in ("t0", "t1", "t2"):
-            chooser.outliers.add_failure(name, 1.0, is_dead=True)
+            chooser.outliers.add_failure(name, 1.0, is_unreachable=True)
         chosen = {chooser.choose(make_route(), "deck", str(i), 1.1).name for i in range(40)}
         assert len(chosen) > 1
 
     def test_a_target_on_trial_gets_one_request_at_a_time(self):
         catalog = make_catalog(1)
         chooser = make_chooser(catalog)
-        chooser.outliers.add_failure("t0", 0.0, is_dead=True)
+        chooser.outliers.add_failure("t0", 0.0, is_unreachable=True)
         chooser.in_flight["t0"] = 1
         assert isinstance(chooser.choose(make_route(), "deck", "k", 5.0), NoTarget)
 
--- a/halldoor/tests/test_leaving_statement.py
+++ b/halldoor/tests/test_leaving_statement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from halldoor.core.targets.changes import TargetGone, TargetSeen
+from halldoor.core.targets.changes import TargetRemoved, TargetSeen
 from halldoor.tests.choicekit import make_catalog, make_target
 from halldoor.tests.ratekit import RateFleet
 
@@ -122,7 +122,7 @@
         assert self.list_usable(catalog) == {"t1"}
 
     def test_returned_record_does_not_revoke_leaving(self, catalog):
-        catalog.apply(TargetGone("t0"), 1.0)
+        catalog.apply(TargetRemoved("t0"), 1.0)
         catalog.apply(TargetSeen(make_target("t0")), 2.0)
         assert self.list_usable(catalog) == {"t1"}
 
@@ -142,7 +142,7 @@
     def test_removed_record_of_leaving_target_moves_no_key(self, catalog):
         version = catalog.version
         orders = self.list_usable(catalog)
-        catalog.apply(TargetGone("t0"), 1.0)
+        catalog.apply(TargetRemoved("t0"), 1.0)
         assert self.list_usable(catalog) == orders
         assert catalog.version > version
 
--- a/halldoor/tests/test_order.py
+++ b/halldoor/tests/test_order.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from halldoor.core.targets.changes import TargetGone, TargetSeen
+from halldoor.core.targets.changes import TargetRemoved, TargetSeen
 from halldoor.core.targets.order import OrderSettings
 from halldoor.core.targets.regionshare import SHARE_STEP, RegionShares, compute_own_share
 from halldoor.tests.choicekit import make_catalog, make_chooser, make_route, make_target
@@ -122,8 +122,8 @@
         keys = list(map(str, range(200)))
         out = next(t for t in catalog.list_targets() if t.record.hall == hall)
         own = [k for k in keys if chooser.choose(make_route(), "deck", k, 1.0) is out]
-        chooser.outliers.add_failure(out.name, 1.0, is_dead=True)
+        chooser.outliers.add_failure(out.name, 1.0, is_unreachable=True)
         meanwhile = [chooser.choose(make_route(), "deck", key, 1.1).name for key in own]
-        catalog.apply(TargetGone(out.name), 1.2)
+        catalog.apply(TargetRemoved(out.name), 1.2)
         assert own
         assert [chooser.choose(make_route(), "deck", key, 1.2).name for key in own] == meanwhile
--- a/halldoor/tests/test_outlier.py
+++ b/halldoor/tests/test_outlier.py
@@ -27,7 +27,7 @@
 
     def test_target_that_fails_after_an_ejection_is_ejected_at_once_for_longer(self):
         table = OutlierTable()
-        table.add_failure("t1", 0.0, is_dead=True)
+        table.add_failure("t1", 0.0, is_unreachable=True)
         back = EJECT_S + 0.01
         assert not table.is_ejected("t1", back)
         assert table.is_on_trial("t1")
@@ -36,7 +36,7 @@
 
     def test_successful_answer_ends_the_trial(self):
         table = OutlierTable()
-        table.add_failure("t1", 0.0, is_dead=True)
+        table.add_failure("t1", 0.0, is_unreachable=True)
         table.add_success("t1", "deck", 0.1, 2.0)
         assert not table.is_on_trial("t1")
 
--- a/halldoor/tests/test_policy_settings.py
+++ b/halldoor/tests/test_policy_settings.py
@@ -50,7 +50,7 @@
         table = OutlierTable(settings.outliers)
         for number in range(20):
             if name == "ejects_failing":
-                table.add_failure("t1", number, is_dead=True)
+                table.add_failure("t1", number, is_unreachable=True)
             else:
                 table.add_success("t1", "deck", 10.0, number)
                 table.add_success("t2", "deck", 0.1, number)
--- a/halldoor/tests/test_rate_shares.py
+++ b/halldoor/tests/test_rate_shares.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from halldoor.core.targets.changes import MemberGone
+from halldoor.core.targets.changes import MemberRemoved
 from halldoor.core.targets.limits import LimitTable
 from halldoor.core.targets.rates import EntryRanks, TargetRates
 from halldoor.core.targets.rests import BackoffTable
@@ -49,14 +49,14 @@
     catalogs, rates = make_rates(names)
     for name in names[cut:]:
         for gone in names[:cut]:
-            catalogs[name].apply(MemberGone(gone), 100.0)
+            catalogs[name].apply(MemberRemoved(gone), 100.0)
     assert count_taken(catalogs, rates, 110.0) <= LIMIT_PER_S
 
 
 def test_share_of_a_removed_entry_returns_to_the_others():
     names = ["e0", "e1"]
     catalogs, rates = make_rates(names)
-    catalogs["e0"].apply(MemberGone("e1"), 100.0)
+    catalogs["e0"].apply(MemberRemoved("e1"), 100.0)
     del rates["e1"]
     before = count_taken(catalogs, rates, 101.0)
     after = count_taken(catalogs, rates, 102.0 + SHARE_KEPT_S)
--- a/halldoor/tests/test_requested_rest.py
+++ b/halldoor/tests/test_requested_rest.py
@@ -124,7 +124,7 @@
 
 
 class TestTable:
-    """Tests of `RestTable` with one target and explicit times."""
+    """Tests of `BackoffTable` with one target and explicit times."""
 
     START = ("t1", 0)
 
--- a/halldoor/tests/test_restart.py
+++ b/halldoor/tests/test_restart.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from halldoor.core.targets.changes import TargetGone, TargetSeen
+from halldoor.core.targets.changes import TargetRemoved, TargetSeen
 from halldoor.tests.choicekit import make_catalog, make_target, record_store_return
 from halldoor.tests.gatewaykit import GatewayKit
 
@@ -44,7 +44,7 @@
         catalog = make_catalog(targets=1)
         apply_record(catalog, started_ms=100)
         record_store_return(catalog, 2.0)
-        catalog.apply(TargetGone("t0"), 2.0)
+        catalog.apply(TargetRemoved("t0"), 2.0)
         apply_record(catalog, 2.5, started_ms=200)
         assert catalog.drop_lapsed(10.0) == [] and is_usable(catalog)
 
@@ -58,7 +58,7 @@
                 assert (await kit.call(key="k")).status == 200
                 gateway = kit.gateway
                 assert gateway.pool.count_idle() == 1
-                gateway.feedback.add_failure("t0", 0.0, "reset", is_dead=True)
+                gateway.feedback.add_failure("t0", 0.0, "reset", is_unreachable=True)
                 assert gateway.feedback._latency.has_answered("t0", "k")
                 kit.write_target("t0", started_ms=200)
                 await kit.wait(lambda: gateway.catalog.find_target("t0").record.started_ms == 200)
--- a/halldoor/tests/test_withdrawn_target.py
+++ b/halldoor/tests/test_withdrawn_target.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from halldoor.core.targets.changes import TargetGone, TargetSeen, TargetStart
+from halldoor.core.targets.changes import TargetRemoved, TargetSeen, TargetStart
 from halldoor.core.targets.withdrawal import (
     NOTICES_MAX,
     WITHDRAWAL_NOTICE_S,
@@ -90,7 +90,7 @@
     @pytest.fixture
     def catalog(self):
         catalog = make_catalog(targets=2)
-        assert catalog.withdraw(TargetStart("t0", 0), FAR, until=WITHDRAWAL_NOTICE_S)
+        assert catalog.apply_withdrawal_notice(TargetStart("t0", 0), FAR, until=WITHDRAWAL_NOTICE_S)
         return catalog
 
     def list_usable(self, catalog):
@@ -131,7 +131,9 @@
         record = make_target("t0")
         catalog.apply(TargetSeen(record._replace(started_ms=5)), 1.0)
         assert catalog.release_reached_withdrawals(StoreView("1", 9), 1.0) == [TargetStart("t0", 0)]
-        assert catalog.withdraw(TargetStart("t0", 5), StoreView("1", 12), until=WITHDRAWAL_NOTICE_S)
+        assert catalog.apply_withdrawal_notice(
+            TargetStart("t0", 5), StoreView("1", 12), until=WITHDRAWAL_NOTICE_S
+        )
         catalog.apply(TargetSeen(record._replace(started_ms=7)), 1.0)
         assert self.list_usable(catalog) == {"t0", "t1"}
         assert catalog.release_reached_withdrawals(StoreView("1", 12), 1.0) == []
@@ -144,7 +146,7 @@
         for started_ms in known:
             catalog.apply(TargetSeen(make_target(name)._replace(started_ms=started_ms)), 0.5)
         start = TargetStart(name, 5)
-        assert not catalog.withdraw(start, FAR, until=WITHDRAWAL_NOTICE_S)
+        assert not catalog.apply_withdrawal_notice(start, FAR, until=WITHDRAWAL_NOTICE_S)
         catalog.apply(TargetSeen(make_target(name)._replace(started_ms=5)), 1.0)
         assert not catalog.can_send(name)
         assert start in catalog.release_reached_withdrawals(FAR, 1.0)
@@ -152,7 +154,7 @@
 
     def test_target_is_usable_if_the_own_view_treats_its_removal_as_expiry(self, catalog):
         record_store_return(catalog, 10.0)
-        catalog.apply(TargetGone("t0"), 10.0)
+        catalog.apply(TargetRemoved("t0"), 10.0)
         assert catalog.release_reached_withdrawals(StoreView("1", 9), 10.0) == [
             TargetStart("t0", 0)
         ]
@@ -164,8 +166,8 @@
     """Notices may name any target; beyond the bound, those of known targets still work."""
     catalog = make_catalog(targets=2)
     for i in range(NOTICES_MAX + 10):
-        catalog.withdraw(TargetStart(f"x{i}", 0), FAR, until=WITHDRAWAL_NOTICE_S)
-    assert catalog.withdraw(TargetStart("t0", 0), FAR, until=WITHDRAWAL_NOTICE_S)
+        catalog.apply_withdrawal_notice(TargetStart(f"x{i}", 0), FAR, until=WITHDRAWAL_NOTICE_S)
+    assert catalog.apply_withdrawal_notice(TargetStart("t0", 0), FAR, until=WITHDRAWAL_NOTICE_S)
     assert not catalog.can_send("t0")
     assert catalog.count_withdrawals() <= NOTICES_MAX + 1
     assert catalog.release_reached_withdrawals(FAR, 1.0) == [TargetStart("t0", 0)]
@@ -180,15 +182,15 @@
         draining = TargetSeen(make_target("t0")._replace(is_draining=True))
         catalog.apply(draining, 1.0)
         catalog.apply(draining, 2.0)
-        catalog.apply(TargetGone("t0"), 3.0)
-        catalog.apply(TargetGone("t1"), 3.0)
+        catalog.apply(TargetRemoved("t0"), 3.0)
+        catalog.apply(TargetRemoved("t1"), 3.0)
         assert catalog.pop_withdrawn() == [TargetStart("t0", 0), TargetStart("t1", 0)]
         assert catalog.pop_withdrawn() == []
 
     def test_expired_target_is_not_announced(self):
         catalog = make_catalog(targets=1)
         record_store_return(catalog, 10.0)
-        catalog.apply(TargetGone("t0"), 10.0)
+        catalog.apply(TargetRemoved("t0"), 10.0)
         assert catalog.find_target("t0") is not None
         assert catalog.pop_withdrawn() == []
 
--- a/properties/test_budget.py
+++ b/properties/test_budget.py
@@ -27,7 +27,7 @@
         if is_request:
             share.add_request(now)
             requests.append(now)
-        elif share.take_retry(now, entries=entries):
+        elif share.reserve_retry(now, entries=entries):
             retries.append(now)
         recent = [t for t in retries if t > now - WINDOW_S]
         asked = [t for t in requests if t > now - WINDOW_S]
