--- a/benchmarks/access.py
+++ b/benchmarks/access.py
@@ -22,11 +22,11 @@
 
 def measure(teams: int) -> list[object]:
     """Return the row for a configuration with a number of teams."""
-    known = [
+    team_list = [
         Team(f"team{i}", (digest_key(f"key{i}".encode()),), 1, TeamLimit(1e6, 1e6))
         for i in range(teams)
     ]
-    routing = Routing(1, (make_route(),), {"deck": SERVICE}, CallerLimits(), tuple(known))
+    routing = Routing(1, (make_route(),), {"deck": SERVICE}, CallerLimits(), tuple(team_list))
     table = AccessTable(routing)
     gate = QuotaGate("e1", 1, Random(1).random)
     gate.set_limits(table.teams.get_limits())
@@ -35,7 +35,7 @@
     for _ in range(ROUNDS):
         began = time.process_time()
         for field in fields:
-            entrance = table.admit_request(
+            admission = table.admit_request(
                 "decks.example",
                 "/a/b",
                 field,
@@ -46,7 +46,7 @@
                 settings=AccessSettings(),
             )
         best = min(best, time.process_time() - began)
-        assert isinstance(entrance, AdmittedRequest)
+        assert isinstance(admission, AdmittedRequest)
     return [teams, f"{best / REQUESTS * 1e6:.1f}"]
 
 
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -41,7 +41,7 @@
 
     def change() -> None:
         """Discard the cached orders before a round."""
-        _flip(catalog)
+        _change_slots(catalog)
 
     def choose_all() -> None:
         """Choose a target once for each key."""
@@ -53,7 +53,7 @@
     return [targets, f"{new_ms:.3f}", f"{known_ms:.3f}"]
 
 
-def _flip(catalog: Catalog) -> None:
+def _change_slots(catalog: Catalog) -> None:
     """Change the slots of one target, so that every key's order of targets is rebuilt."""
     record = make_target("t0", hall="grq-a")
     known = catalog.find_target("t0")
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -73,9 +73,11 @@
         for s, result in results.items()
     ]
     notes = [
-        _fit("entries in one hall", IN_ONE_HALL, [s.entries for s in IN_ONE_HALL], results),
-        _fit("entries in all", SPREAD, [s.halls * s.entries for s in SPREAD], results),
-        _fit("targets in the hall", BY_TARGETS, [s.targets for s in BY_TARGETS], results),
+        _describe_fit(
+            "entries in one hall", IN_ONE_HALL, [s.entries for s in IN_ONE_HALL], results
+        ),
+        _describe_fit("entries in all", SPREAD, [s.halls * s.entries for s in SPREAD], results),
+        _describe_fit("targets in the hall", BY_TARGETS, [s.targets for s in BY_TARGETS], results),
     ]
     write_result("control", "Control cost of an entry", format_table(head, rows), "\n".join(notes))
     totals = [float(s.halls * s.entries) for s in SPREAD]
@@ -94,7 +96,9 @@
     )
 
 
-def _fit(what: str, sizes: list[Size], xs: list[int], results: dict[Size, list[float]]) -> str:
+def _describe_fit(
+    what: str, sizes: list[Size], xs: list[int], results: dict[Size, list[float]]
+) -> str:
     """Return a line of text with the main figures fitted against one dimension of the size."""
     parts = []
     for name, column in (("CPU %", 0), ("sent KB/s", 2), ("RSS MB", 6), ("platform calls/s", 7)):
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -38,24 +38,24 @@
 """Faults by the name in the table."""
 
 
-def play(way: str, fleet: Fleet, trouble: Trouble, seed: int) -> Run:
+def run_way(way: str, fleet: Fleet, trouble: Trouble, seed: int) -> Run:
     """Run one way of counting crashes under a fault."""
     return Run(fleet, trouble, seed=seed).play(WAYS[way](), until_s=UNTIL_S)
 
 
-def describe(way: str, entries: int) -> list[object]:
+def build_row(way: str, entries: int) -> list[object]:
     """Return the row of one way of counting crashes.
 
     Columns: requests sent too late under each fault, crashed targets, messages and store calls, and
     the effect on a healthy request that runs at targets that crash for other reasons.
     """
     fleet = Fleet(entries=entries)
-    by_trouble = {n: [play(way, fleet, t, seed) for seed in SEEDS] for n, t in TROUBLES.items()}
+    by_trouble = {n: [run_way(way, fleet, t, seed) for seed in SEEDS] for n, t in TROUBLES.items()}
     late = [max(run.count_late() for run in runs) for runs in by_trouble.values()]
     calm = by_trouble["none"]
-    rack = play(way, Fleet(entries=entries, bad_per_s=0.0, rack=500), Trouble(), 0)
+    rack = run_way(way, Fleet(entries=entries, bad_per_s=0.0, rack=500), Trouble(), 0)
     popular = Fleet(entries=entries, bad_per_s=0.0, popular_per_s=8.0, ends_per_s=1.2)
-    runs = [play(way, popular, Trouble(), seed) for seed in SEEDS]
+    runs = [run_way(way, popular, Trouble(), seed) for seed in SEEDS]
     asked = sum(run.served + run.refused + run.lost for run in runs)
     return [
         entries,
@@ -71,7 +71,7 @@
 
 def main() -> None:
     """Run all measurements and write the table."""
-    rows = [describe(way, entries) for entries in FLEETS for way in WAYS]
+    rows = [build_row(way, entries) for entries in FLEETS for way in WAYS]
     header = [
         "entries",
         "way",
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from benchmarks.common import format_table, write_result
-from benchmarks.replay import use
+from benchmarks.replay import override_settings
 from halldoor.standins.moves import find_largest_move
 from halldoor.standins.patterns import RETURN, RETURN_REGION
 from halldoor.standins.replay import Replay
@@ -32,7 +32,10 @@
     rows: list[list[object]] = []
     for cause, pattern in CAUSES.items():
         for way, settings in WAYS.items():
-            tallies = [Replay(pattern, seed=seed, adapt=use(settings)).run() for seed in SEEDS]
+            tallies = [
+                Replay(pattern, seed=seed, adapt=override_settings(settings)).run()
+                for seed in SEEDS
+            ]
             runs = [run for tally in tallies for run in tally.runs]
             moved = [find_largest_move(runs, origin, pattern).part for origin in ("ams", "grq")]
             in_aim = sum(tally.share_in_aim() for tally in tallies) / len(tallies)
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -37,7 +37,7 @@
 """Ways to learn that a target leaves, by the name in the table."""
 
 
-def describe(load: str, entries: int, trouble: str, way: str) -> list[object]:
+def build_row(load: str, entries: int, trouble: str, way: str) -> list[object]:
     """Return the row of one way to learn that a target leaves, with the worst of the seeds."""
     bound = Bound(ASKED_PER_S[load], 1.0, 0.0, 1.0)
     runs = [
@@ -54,7 +54,7 @@
 def main() -> None:
     """Run all measurements and write the table."""
     rows = [
-        describe(load, entries, trouble, way)
+        build_row(load, entries, trouble, way)
         for load in ASKED_PER_S
         for entries in FLEETS
         for trouble in TROUBLES
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -19,7 +19,7 @@
 """Numbers of entries."""
 RATES = (6.0, 60.0, 174.0)
 """Rates a second, and equal bursts, of a small, a medium and the largest of 80 teams."""
-USUAL = 0.6
+USUAL_SHARE = 0.6
 """Usual load of a team, as a share of its rate."""
 PATTERNS = {
     "usual": (1.0, None),
@@ -39,29 +39,29 @@
 """Length of a run, in seconds."""
 
 
-def play(way: type[QuotaWay], entries: int, rate: float, pattern: str, seed: int) -> Run:
+def run_team(way: type[QuotaWay], entries: int, rate: float, pattern: str, seed: int) -> Run:
     """Run one team under a load pattern."""
-    factor, crowd = PATTERNS[pattern]
+    factor, used_share = PATTERNS[pattern]
     weights = None
-    if crowd is not None:
-        few = max(1, round(crowd * entries))
+    if used_share is not None:
+        few = max(1, round(used_share * entries))
         weights = [20.0] * few + [0.1] * (entries - few)
     run = Run(entries, TeamLimit(rate, rate), Trouble(), seed=seed)
     return run.play(
         way(),
-        lambda now: USUAL * rate * (factor if 3.0 <= now < 10.0 else 1.0),
+        lambda now: USUAL_SHARE * rate * (factor if 3.0 <= now < 10.0 else 1.0),
         until_s=UNTIL_S,
         weights=weights,
     )
 
 
-def describe(name: str, entries: int, pattern: str) -> list[object]:
+def build_row(name: str, entries: int, pattern: str) -> list[object]:
     """Return the row of one way to enforce quotas.
 
     Columns: the most admitted in any window of 5 s relative to the bound, the share admitted of the
     requests that the quota allows, by team, and the traffic.
     """
-    runs = [play(WAYS[name], entries, rate, pattern, seed) for seed, rate in enumerate(RATES)]
+    runs = [run_team(WAYS[name], entries, rate, pattern, seed) for seed, rate in enumerate(RATES)]
     worst = max(run.find_worst_window() / run.bound for run in runs)
     admitted = [f"{len(run.admitted) / run.count_allowed():.2f}" for run in runs]
     rate_kb = max(run.messages for run in runs) * MESSAGE_BYTES / entries / UNTIL_S / 1000
@@ -70,7 +70,7 @@
 
 def main() -> None:
     """Run all measurements and write the table."""
-    rows = [describe(w, n, p) for n in FLEETS for p in PATTERNS for w in WAYS]
+    rows = [build_row(w, n, p) for n in FLEETS for p in PATTERNS for w in WAYS]
     header = [
         "entries",
         "load",
--- a/benchmarks/rates.py
+++ b/benchmarks/rates.py
@@ -45,7 +45,7 @@
 """Ways to divide the rate, by the name in the table."""
 
 
-def describe(bound: str, entries: int, trouble: str, way: str) -> list[object]:
+def build_row(bound: str, entries: int, trouble: str, way: str) -> list[object]:
     """Return the row of one way to divide a rate, with the worst window of the seeds.
 
     Further columns have the mean share of the rate that was used, by connected entries and by
@@ -68,7 +68,7 @@
 
 def main() -> None:
     """Run all measurements and write the table."""
-    rows = [describe(b, n, t, w) for b in BOUNDS for n in FLEETS for t in TROUBLES for w in WAYS]
+    rows = [build_row(b, n, t, w) for b in BOUNDS for n in FLEETS for t in TROUBLES for w in WAYS]
     header = [
         "bound",
         "entries",
--- a/benchmarks/reaction.py
+++ b/benchmarks/reaction.py
@@ -56,7 +56,7 @@
     fleet.http.request("PUT", f"{fleet.platform_url}/hosts", body=body)
 
 
-def _measure(what: str, say: Callable[[], None], fleet: Fleet) -> list[object]:
+def _measure(what: str, announce_leaving: Callable[[], None], fleet: Fleet) -> list[object]:
     """Measure the time from a notice that the target leaves, by one source, to its last request."""
     times = []
     for _ in range(ROUNDS):
@@ -71,7 +71,7 @@
         for thread in threads:
             thread.start()
         time.sleep(0.5)
-        say()
+        announce_leaving()
         started, last, seen = time.monotonic(), time.monotonic(), -1
         while time.monotonic() - started < 4.5:
             stats = fleet.get_json("a1-t1", "/stats")
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -23,11 +23,11 @@
     "no limit of waits": {"wait_limit": 0.0},
 }
 """Changed settings of the choice of targets, by the name in the table."""
-FADING = "reports fade in 0.2 s and 3 s"
+FIXED_DECAY = "reports fade in 0.2 s and 3 s"
 """Name of the policy with fixed decay times of load reports, which no setting can select."""
 
 
-def use(settings: dict[str, Any]) -> Callable[[ModelEntry], None]:
+def override_settings(settings: dict[str, Any]) -> Callable[[ModelEntry], None]:
     """Return a function that overrides settings of an entry's choice of targets."""
 
     def adapt(entry: ModelEntry) -> None:
@@ -37,12 +37,12 @@
     return adapt
 
 
-def play(pattern: Pattern, settings: dict[str, Any]) -> list[Tally]:
+def run_seeds(pattern: Pattern, settings: dict[str, Any]) -> list[Tally]:
     """Run a load pattern once with each seed."""
-    return [Replay(pattern, seed=seed, adapt=use(settings)).run() for seed in SEEDS]
+    return [Replay(pattern, seed=seed, adapt=override_settings(settings)).run() for seed in SEEDS]
 
 
-def describe(what: str, policy: str, tallies: list[Tally]) -> list[object]:
+def build_row(what: str, policy: str, tallies: list[Tally]) -> list[object]:
     """Return the row of one policy, with means over the seeds."""
 
     def average(read: Callable[[Tally], float]) -> float:
@@ -66,9 +66,9 @@
     rows = []
     for what, pattern in PATTERNS.items():
         for policy, settings in POLICIES.items():
-            rows.append(describe(what, policy, play(pattern, settings)))
+            rows.append(build_row(what, policy, run_seeds(pattern, settings)))
         with mock.patch.object(load.DecayTimes, "from_pace", lambda **_: DecayTimes()):
-            rows.append(describe(what, FADING, play(pattern, {})))
+            rows.append(build_row(what, FIXED_DECAY, run_seeds(pattern, {})))
     head = ["pattern", "policy", "in time", "after 6 s", "of ams", "refused", "cold", "far"]
     title = f"Load patterns in virtual time, mean of {len(SEEDS)} seeds"
     write_result("replay", title, format_table(head, rows))
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -33,7 +33,7 @@
     rows = []
     now = asyncio.get_running_loop().time
 
-    async def count(what: str, version: int, began: float, bytes_before: int) -> None:
+    async def add_row(what: str, version: int, began: float, bytes_before: int) -> None:
         """Wait until all are up to date, and add the row with the calls within `WINDOW_S`."""
         took_s = await fleet.wait(version) + now() - began if what else 0.0
         took_s = now() - began
@@ -55,10 +55,10 @@
 
     began = now()
     await fleet.start(within_s=0.5)
-    await count("first start", 1, began, 0)
+    await add_row("first start", 1, began, 0)
     copy = fleet.store.copy()
     began, handed = now(), fleet.handed_bytes
-    await count("nothing", 1, began, handed)
+    await add_row("nothing", 1, began, handed)
     fleet.configure(2)
     await asyncio.sleep(5.0)
     handed = fleet.handed_bytes
@@ -68,10 +68,10 @@
     fleet.store.restore(copy)
     fleet.store.is_down = False
     fleet.configure(3)
-    await count("store restored", 3, began, handed)
+    await add_row("store restored", 3, began, handed)
     began, handed = now(), fleet.handed_bytes
     await fleet.start(within_s=0.5)
-    await count("all start again", 3, began, handed)
+    await add_row("all start again", 3, began, handed)
     fleet.stop()
     return rows
 
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -20,9 +20,9 @@
 """Seeds of the runs; each row reports the worst run unless its column says otherwise."""
 UNTIL_S = 18.0
 """Length of a run, in seconds."""
-RETURN_S = 6.0
+RESUME_S = 6.0
 """Time after the target accepts requests again that is evaluated, in seconds."""
-WAVE_S = 0.25
+BURST_WINDOW_S = 0.25
 """Window in which the largest number of requests is counted, in seconds."""
 ASKED_PER_S = 40.0
 """Requests a second for the target, over all entries: about what its slots can serve."""
@@ -46,13 +46,13 @@
 """Ways to back off and resume, by the name in the table."""
 
 
-def count_wave(run: Run, need: Need) -> int:
-    """Return the most requests in any `WAVE_S` after the target accepts requests again."""
-    times = sorted(at for at, _ in run.sent if need.to_s <= at < need.to_s + RETURN_S)
-    return max((sum(at <= t < at + WAVE_S for t in times) for at in times), default=0)
+def count_burst(run: Run, need: Need) -> int:
+    """Return the most requests in any `BURST_WINDOW_S` after the target accepts requests again."""
+    times = sorted(at for at, _ in run.sent if need.to_s <= at < need.to_s + RESUME_S)
+    return max((sum(at <= t < at + BURST_WINDOW_S for t in times) for at in times), default=0)
 
 
-def describe(need: str, entries: int, trouble: str, way: str) -> list[object]:
+def build_row(need: str, entries: int, trouble: str, way: str) -> list[object]:
     """Return the row of one way to back off and resume, with the worst of the seeds.
 
     The shares of requests that were sent are means over the seeds.
@@ -62,7 +62,7 @@
     for seed, played in zip(SEEDS, ways, strict=True):
         run = Run(entries, bound, TROUBLES[trouble], asked_per_s=ASKED_PER_S, seed=seed)
         run.play(played, until_s=UNTIL_S)
-    begin, end = NEEDS[need].to_s, NEEDS[need].to_s + RETURN_S
+    begin, end = NEEDS[need].to_s, NEEDS[need].to_s + RESUME_S
     asked = sum(begin <= at < end for played in ways for at, _ in played.run.asked)
     sent = sum(begin <= at < end for played in ways for at, _ in played.run.sent)
     others = [
@@ -79,7 +79,7 @@
         way,
         max(len(played.turned_away) for played in ways),
         max(played.find_most_in_rest() for played in ways),
-        max(count_wave(played.run, NEEDS[need]) for played in ways),
+        max(count_burst(played.run, NEEDS[need]) for played in ways),
         f"{sent / asked:.2f}",
         spared,
         max(played.run.messages for played in ways),
@@ -88,7 +88,7 @@
 
 def main() -> None:
     """Run all measurements and write the table."""
-    rows = [describe(n, e, t, w) for n in NEEDS for e in FLEETS for t in TROUBLES for w in WAYS]
+    rows = [build_row(n, e, t, w) for n in NEEDS for e in FLEETS for t in TROUBLES for w in WAYS]
     header = [
         "need",
         "entries",
@@ -96,8 +96,8 @@
         "way",
         "requests turned away",
         "most of one entry within a rest",
-        f"most in {WAVE_S:g} s after the need",
-        f"part sent in the {RETURN_S:.0f} s after it",
+        f"most in {BURST_WINDOW_S:g} s after the need",
+        f"part sent in the {RESUME_S:.0f} s after it",
         "part sent by entries that were not turned away",
         "messages",
     ]
--- a/benchmarks/slots.py
+++ b/benchmarks/slots.py
@@ -49,7 +49,7 @@
     write_result("slots", "Usable share of the targets' slots", format_table(head, rows))
 
 
-def _measure(what: str, fault: Callable[[Fleet], None], entries: list[str]) -> list[object]:
+def _measure(what: str, inject_fault: Callable[[Fleet], None], entries: list[str]) -> list[object]:
     """Return the row of one case: the share of slots in use while callers saturate a hall."""
     with Fleet.open() as fleet:
         configuration = make_configuration(halls={"a1": 2}, deadline_s=2.0)
@@ -62,7 +62,7 @@
             fleet.start_entry(name)
         fleet.wait_ready("a1-e1", "a1-e2")
         time.sleep(1.0)
-        fault(fleet)
+        inject_fault(fleet)
         served = [0] * CALLERS
 
         def call(number: int) -> float:
--- a/benchmarks/withdrawals.py
+++ b/benchmarks/withdrawals.py
@@ -62,8 +62,10 @@
         await start(fleet)
         for number, (seed, way) in enumerate(itertools.product(range(SEEDS), Way)):
             random = Random(f"{seed} {way.value} {faults}")
-            got = await measure(fleet, number, way, faults, random)
-            times[way] = Times(times[way].in_touch + got.in_touch, times[way].others + got.others)
+            measured = await measure(fleet, number, way, faults, random)
+            times[way] = Times(
+                times[way].in_touch + measured.in_touch, times[way].others + measured.others
+            )
         fleet.stop()
         await asyncio.sleep(0.1)
 
--- a/halldoor/admin/api.py
+++ b/halldoor/admin/api.py
@@ -29,7 +29,7 @@
 
 log = structlog.get_logger(part="admin")
 
-BODY_LIMIT = 16_000_000
+MAX_BODY_BYTES = 16_000_000
 """Longest request body, in bytes."""
 _STATUS: list[tuple[type[HalldoorError], int]] = [
     (PermissionDeniedError, 403),
@@ -65,7 +65,7 @@
     change_id: str = ""
 
 
-def _answer(method: Callable[..., Any]) -> Any:
+def _expose_as_json(method: Callable[..., Any]) -> Any:
     """Expose a method over HTTP, with its result, or its error and remedy, as JSON."""
 
     def wrapped(self: AdminApi, *args: Any, **kwargs: Any) -> bytes:
@@ -73,14 +73,14 @@
         try:
             value = method(self, *args, **kwargs)
         except (HalldoorError, msgspec.MsgspecError, TypeError) as exc:
-            value = _to_error(exc)
+            value = _build_error(exc)
         return value if isinstance(value, bytes) else msgspec.json.encode(value)
 
     wrapped.__doc__ = method.__doc__
     return cherrypy.expose(wrapped)
 
 
-def _to_error(exc: Exception) -> dict[str, str]:
+def _build_error(exc: Exception) -> dict[str, str]:
     """Set the response status for an error, and return the response with its remedy."""
     if not isinstance(exc, HalldoorError):
         cherrypy.response.status = 400
@@ -105,20 +105,20 @@
     def __init__(self, administration: Administration) -> None:
         self._administration = administration
 
-    @_answer
+    @_expose_as_json
     def configuration(self) -> dict[str, Any]:
         """Return the accepted configuration."""
         self._authenticate()
         return self._administration.read()
 
-    @_answer
+    @_expose_as_json
     def plan(self) -> dict[str, Any]:
         """Return the differences that applying a configuration would make."""
         self._authenticate()
         body = _read_body(ApplyBody)
         return self._administration.plan(Configuration.from_data(body.configuration))
 
-    @_answer
+    @_expose_as_json
     def apply(self) -> Any:
         """Apply a complete configuration."""
         team = self._authenticate()
@@ -128,7 +128,7 @@
         outcome = self._administration.apply(team, wanted, base=body.base, change_id=change_id)
         return outcome._asdict() | {"change_id": change_id}
 
-    @_answer
+    @_expose_as_json
     def shift(self) -> Any:
         """Start, step, pause or revert a shift."""
         team = self._authenticate()
@@ -139,7 +139,7 @@
         )
         return outcome._asdict() | {"change_id": change_id}
 
-    @_answer
+    @_expose_as_json
     def drain(self) -> Any:
         """Drain a target, or undo its drain."""
         team = self._authenticate()
@@ -150,7 +150,7 @@
         )
         return outcome._asdict() | {"change_id": change_id}
 
-    @_answer
+    @_expose_as_json
     def audit(self, limit: str = "50") -> Any:
         """List accepted and refused changes, the newest first."""
         self._authenticate()
@@ -158,13 +158,13 @@
             raise SettingsError(f"limit is {limit!r}.", remedy="Pass a whole number.")
         return [msgspec.to_builtins(r) for r in self._administration.list_audit(limit=int(limit))]
 
-    @_answer
+    @_expose_as_json
     def status(self) -> dict[str, Any]:
         """Return the states of all entries, and the progress of drains and shifts."""
         self._authenticate()
         return self._administration.get_status()
 
-    @_answer
+    @_expose_as_json
     def explain(self, **query: str) -> bytes:
         """Return the explanation of a routing decision, from the first entry that answers."""
         self._authenticate()
@@ -194,7 +194,7 @@
     root_config = {"/": {"request.process_request_body": False, "tools.json_in.on": False}}
     cherrypy.tree.mount(AdminApi(administration), "/v1", root_config)
     cherrypy.config.update({"environment": "embedded", "log.screen": False})
-    http = HttpServer(settings.http, cherrypy.tree, threads=8, body_limit=BODY_LIMIT)
+    http = HttpServer(settings.http, cherrypy.tree, threads=8, body_limit=MAX_BODY_BYTES)
     cherrypy.engine.autoreload.unsubscribe()
     cherrypy.server.unsubscribe()
     bound = (settings.http.ip, settings.http.port)
--- a/halldoor/admin/service.py
+++ b/halldoor/admin/service.py
@@ -14,7 +14,7 @@
 from halldoor.core.steering.configuration import Configuration, EntryHost, Team, to_display_data
 from halldoor.core.steering.operation import edit_drain, edit_shift
 from halldoor.core.steering.permission import check_permission, find_team
-from halldoor.keyvalue.store import Change, ConfigurationStore, Stored
+from halldoor.keyvalue.store import Change, ConfigurationStore, StoredConfiguration
 
 log = structlog.get_logger(part="admin")
 
@@ -84,7 +84,7 @@
             team,
             change,
             lambda c: edit_shift(c, name, verb, position=position),
-            touched=f"shifts.{name}",
+            checked_path=f"shifts.{name}",
         )
 
     def drain(self, team: Team, target: str, *, is_leaving: bool, change_id: str) -> Outcome:
@@ -94,7 +94,7 @@
             team,
             change,
             lambda c: edit_drain(c, target, is_leaving=is_leaving),
-            touched=f"targets.{target}.leaving",
+            checked_path=f"targets.{target}.leaving",
         )
 
     def _commit(
@@ -104,7 +104,7 @@
         edit: Callable[[Configuration], Configuration],
         *,
         base: int | None = None,
-        touched: str = "",
+        checked_path: str = "",
     ) -> Outcome:
         """Commit an edit if the team has permission; record a refused edit.
 
@@ -112,13 +112,13 @@
         team can't probe for the state of another team's objects.
         """
 
-        def checked(stored: Stored) -> Configuration:
+        def checked(stored: StoredConfiguration) -> Configuration:
             """Apply the edit, and raise if the team has no permission for its differences."""
             # Before the first configuration only `apply` gets here: the other edits raise.
-            after = edit(stored.configuration or _make_empty())
+            after = edit(stored.configuration or _build_empty_configuration())
             differences = _list_differences(stored, after)
-            if touched:
-                differences.append(Difference(touched, None, None))
+            if checked_path:
+                differences.append(Difference(checked_path, None, None))
             check_permission(team, differences, stored.configuration, after)
             return after
 
@@ -154,15 +154,15 @@
         stored = self._store.read()
         if stored.configuration is None:
             return {"revision": 0, "entries": [], "draining": [], "moves": []}
-        entries = [self._ask(e) for h in stored.configuration.halls for e in h.entries]
+        entries = [self._fetch_status(e) for h in stored.configuration.halls for e in h.entries]
         return {
             "revision": stored.revision,
             "entries": entries,
-            "draining": _sum_drains(entries),
-            "moves": _sum_moves(entries),
+            "draining": _summarize_drains(entries),
+            "moves": _summarize_moves(entries),
         }
 
-    def _ask(self, entry: EntryHost) -> dict[str, Any]:
+    def _fetch_status(self, entry: EntryHost) -> dict[str, Any]:
         """Fetch the status of one entry; an entry that doesn't answer is ``unreachable``."""
         try:
             response = self._http.request("GET", f"http://{entry.http}/v1/status")
@@ -194,19 +194,19 @@
         raise PlatformError("No entry can be reached.", remedy="Check that entries run.")
 
 
-def _make_empty() -> Configuration:
+def _build_empty_configuration() -> Configuration:
     """Build an empty configuration."""
     return Configuration(regions=[], halls=[], targets=[], services=[], teams=[])
 
 
-def _list_differences(stored: Stored, wanted: Configuration) -> list[Difference]:
+def _list_differences(stored: StoredConfiguration, wanted: Configuration) -> list[Difference]:
     """List the differences to a wanted configuration, without fields that the API itself writes."""
     found = compare(to_display_data(stored.configuration), to_display_data(wanted))
     own = ("former_rosters", "roster_revision")
     return [d for d in found if not d.path.endswith(own)]
 
 
-def _sum_drains(entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def _summarize_drains(entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """Summarize the requests that each draining target still runs, and for which entries."""
     drains: dict[str, dict[str, Any]] = {}
     for entry in entries:
@@ -222,7 +222,7 @@
     return list(drains.values())
 
 
-def _sum_moves(entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def _summarize_moves(entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """Sum the requests and moved requests of all entries, by service and cap."""
     sums: dict[tuple[str, str], dict[str, Any]] = {}
     for entry in entries:
--- a/halldoor/cli/fleet.py
+++ b/halldoor/cli/fleet.py
@@ -15,16 +15,16 @@
 
 TIMEOUT_S = 2.0
 """Longest wait for the answer of one gateway, in seconds."""
-AT_ONCE = 256
+MAX_CONCURRENT_FETCHES = 256
 """Gateways fetched at the same time, so that 200 that don't answer cost one time-out together."""
-LISTED = 20
+MAX_LISTED_LINES = 20
 """Lines shown of each list; further lines are only counted."""
-LAG_S = 5.0
+LAG_LIMIT_S = 5.0
 """Age of the store's last message from which a gateway is listed as lagging, in seconds: the time
 in which a change must be in force everywhere."""
 
 _STATE = re.compile(r'^halldoor_state\{name="(\w+)"\} (\S+)')
-_OUT = re.compile(r"^halldoor_target_out\{(.*)\} 1")
+_TARGET_OUT = re.compile(r"^halldoor_target_out\{(.*)\} 1")
 _OVER_QUOTA = re.compile(r'^halldoor_over_quota\{team="([^"]*)"\} (\S+)')
 _REGION_REQUESTS = re.compile(r"^halldoor_region_requests\{(.*)\} (\S+)")
 _LABEL = re.compile(r'(\w+)="([^"]*)"')
@@ -82,8 +82,8 @@
     """
     pool = urllib3.PoolManager(len(addresses), retries=False, timeout=TIMEOUT_S)
     views: dict[int, GatewayView] = {}
-    with pool, ThreadPoolExecutor(min(AT_ONCE, len(addresses))) as executor:
-        asked = {executor.submit(_fetch, pool, a): i for i, a in enumerate(addresses)}
+    with pool, ThreadPoolExecutor(min(MAX_CONCURRENT_FETCHES, len(addresses))) as executor:
+        asked = {executor.submit(_fetch_gateway, pool, a): i for i, a in enumerate(addresses)}
         for done in as_completed(asked):
             views[asked[done]] = done.result()
             on_progress(len(views))
@@ -104,12 +104,12 @@
     the first time with none.
     """
     return [
-        new._replace(region_requests=_subtract(old, new))
+        new._replace(region_requests=_subtract_requests(old, new))
         for old, new in zip(earlier, later, strict=True)
     ]
 
 
-def _subtract(old: GatewayView, new: GatewayView) -> tuple[tuple[str, str, int], ...]:
+def _subtract_requests(old: GatewayView, new: GatewayView) -> tuple[tuple[str, str, int], ...]:
     """Return the requests of a gateway since its earlier state, by region of caller and target."""
     if not old.is_reached:
         return ()
@@ -120,7 +120,7 @@
     return tuple((o, to, count) for o, to, count in counts if count)
 
 
-def _fetch(pool: urllib3.PoolManager, address: str) -> GatewayView:
+def _fetch_gateway(pool: urllib3.PoolManager, address: str) -> GatewayView:
     """Fetch the metrics of one gateway; a failure is returned as the state's error."""
     try:
         response = pool.request("GET", f"http://{address}/")
@@ -140,7 +140,7 @@
     for line in text.splitlines():
         if match := _STATE.match(line):
             state[match[1]] = float(match[2])
-        elif match := _OUT.match(line):
+        elif match := _TARGET_OUT.match(line):
             labels = dict(_LABEL.findall(match[1]))
             out.append(ExcludedTarget(labels["target"], labels["service"], labels["reason"]))
         elif match := _OVER_QUOTA.match(line):
@@ -173,18 +173,18 @@
         f"{sum(g.watches_store for g in reached)} watch the store; "
         f"{sum(g.running for g in reached)} requests running."
     ]
-    lines += _limit([f"{g.address}: not reached ({g.error})" for g in gateways if g.error])
-    lines += _limit(_describe_lag(g, newest) for g in reached if _is_lagging(g, newest))
-    lines += _limit(_describe_eras(reached))
-    lines += _limit(_describe_blocked(reached))
-    lines += _limit(_describe_quotas(reached))
-    lines += _limit(_describe_regions(reached))
-    return lines + _limit(_describe_targets(reached))
+    lines += _truncate_lines([f"{g.address}: not reached ({g.error})" for g in gateways if g.error])
+    lines += _truncate_lines(_describe_lag(g, newest) for g in reached if _is_lagging(g, newest))
+    lines += _truncate_lines(_describe_eras(reached))
+    lines += _truncate_lines(_describe_blocked(reached))
+    lines += _truncate_lines(_describe_quotas(reached))
+    lines += _truncate_lines(_describe_region_requests(reached))
+    return lines + _truncate_lines(_describe_excluded_targets(reached))
 
 
 def _is_lagging(gateway: GatewayView, newest: int) -> bool:
     """Check whether a gateway has an old configuration or has lost contact with the store."""
-    return gateway.version < newest or gateway.store_age_s > LAG_S
+    return gateway.version < newest or gateway.store_age_s > LAG_LIMIT_S
 
 
 def _describe_lag(gateway: GatewayView, newest: int) -> str:
@@ -230,7 +230,7 @@
     ]
 
 
-def _describe_regions(reached: Sequence[GatewayView]) -> list[str]:
+def _describe_region_requests(reached: Sequence[GatewayView]) -> list[str]:
     """Describe the regions to which each region's requests were sent."""
     counts: Counter[tuple[str, str]] = Counter()
     totals: Counter[str] = Counter()
@@ -249,7 +249,7 @@
     ]
 
 
-def _describe_targets(reached: Sequence[GatewayView]) -> list[str]:
+def _describe_excluded_targets(reached: Sequence[GatewayView]) -> list[str]:
     """Describe the excluded targets, those that most gateways exclude first."""
     counts = Counter(out for gateway in reached for out in gateway.targets_out)
     return [
@@ -258,8 +258,8 @@
     ]
 
 
-def _limit(lines: Iterable[str]) -> list[str]:
-    """Return the first `LISTED` lines, and a line with the number of the others."""
+def _truncate_lines(lines: Iterable[str]) -> list[str]:
+    """Return the first `MAX_LISTED_LINES` lines, and a line with the number of the others."""
     shown = list(lines)
-    rest = len(shown) - LISTED
-    return [*shown[:LISTED], f"... and {rest} more"] if rest > 0 else shown
+    rest = len(shown) - MAX_LISTED_LINES
+    return [*shown[:MAX_LISTED_LINES], f"... and {rest} more"] if rest > 0 else shown
--- a/halldoor/cli/operator.py
+++ b/halldoor/cli/operator.py
@@ -36,7 +36,7 @@
 
 DONE, HAS_DIFFERENCES, BAD_INPUT, CONFLICT, NOT_ALLOWED, UNREACHABLE, REFUSED = range(7)
 _CODES = {400: BAD_INPUT, 422: BAD_INPUT, 409: CONFLICT, 403: NOT_ALLOWED, 503: UNREACHABLE}
-LONGEST_LOOK_S = 600.0
+MAX_OVER_S = 600.0
 """Longest value of ``fleet --over``, in seconds."""
 API_VARIABLE = "HALLDOOR_API"
 TOKEN_VARIABLE = "HALLDOOR_TOKEN"
@@ -52,7 +52,7 @@
     output
         ``text`` or ``json``.
     """
-    c = _load(file)
+    c = _load_configuration(file)
     counts = {
         "regions": len(c.regions),
         "halls": len(c.halls),
@@ -61,7 +61,7 @@
         "services": len(c.services),
         "shifts": len(c.shifts),
     }
-    _print(output, {"valid": True, **counts}, lambda: [f"{file}: valid. {_join(counts)}."])
+    _print(output, {"valid": True, **counts}, lambda: [f"{file}: valid. {_join_counts(counts)}."])
 
 
 def plan(file: Path, *, check: bool = False, output: Output = "text") -> None:
@@ -76,7 +76,7 @@
     output
         ``text`` or ``json``.
     """
-    _load(file)
+    _load_configuration(file)
     answer = _call("POST", "plan", {"configuration": load_yaml(file)})
     lines = answer["differences"] or ["No differences."]
     _print(output, answer, lambda: [f"Against revision {answer['base']}:", *lines])
@@ -100,7 +100,7 @@
     output
         ``text`` or ``json``.
     """
-    _load(file)
+    _load_configuration(file)
     body = {"configuration": load_yaml(file), "base": base, "change_id": change_id}
     _print_outcome(output, _call("POST", "apply", body))
 
@@ -176,8 +176,8 @@
     """
     if not addresses:
         _fail(BAD_INPUT, "No address was given. Pass the gateways' metrics addresses, as IP:PORT.")
-    if not 0.0 <= over <= LONGEST_LOOK_S:
-        _fail(BAD_INPUT, f"--over {over:g}: pass 0 to {LONGEST_LOOK_S:g} seconds.")
+    if not 0.0 <= over <= MAX_OVER_S:
+        _fail(BAD_INPUT, f"--over {over:g}: pass 0 to {MAX_OVER_S:g} seconds.")
 
     def look() -> list[GatewayView]:
         """Fetch the states of all gateways, showing the progress."""
@@ -283,7 +283,7 @@
     _print(output, answer, lambda: [line for r in answer for line in _describe_record(r)])
 
 
-def _load(file: Path) -> Configuration:
+def _load_configuration(file: Path) -> Configuration:
     """Return a validated configuration from a file; exit with a message if it is invalid."""
     try:
         return Configuration.from_data(load_yaml(file), origin=str(file))
@@ -334,7 +334,7 @@
     _print(output, answer, lambda: [head, *answer["differences"]])
 
 
-def _join(counts: dict[str, int]) -> str:
+def _join_counts(counts: dict[str, int]) -> str:
     """Format counts by name as one line."""
     return ", ".join(f"{v} {k}" for k, v in counts.items())
 
--- a/halldoor/cli/replay.py
+++ b/halldoor/cli/replay.py
@@ -14,24 +14,24 @@
 from halldoor.standins.patterns import Pattern
 from halldoor.standins.replay import ModelEntry, Replay, Tally
 
-STANDING = "as it is"
+DEFAULT_POLICY = "as it is"
 """Name of the default policy in the output."""
-SECTION = "choice"
+CHOICE_SECTION = "choice"
 """Only section of a policy file that affects a replay."""
-_NOWHERE = Address("127.0.0.1", 1)
+_UNUSED_ADDRESS = Address("127.0.0.1", 1)
 """Address for required settings that a replay doesn't use."""
-_USUAL = GatewaySettings(
+_DEFAULT_SETTINGS = GatewaySettings(
     name="replay",
     hall="",
     region="",
-    front=_NOWHERE,
-    ready=_NOWHERE,
-    directory=_NOWHERE,
+    front=_UNUSED_ADDRESS,
+    ready=_UNUSED_ADDRESS,
+    directory=_UNUSED_ADDRESS,
     regions={},
 )
 
 
-class Played(NamedTuple):
+class PolicyResult(NamedTuple):
     """Result of a load pattern under one policy."""
 
     policy: str
@@ -74,14 +74,16 @@
     SettingsError
         If a setting is invalid or doesn't affect a replay; the message names it.
     """
-    policies = {STANDING: _USUAL.choice}
+    policies = {DEFAULT_POLICY: _DEFAULT_SETTINGS.choice}
     for path in paths:
-        settings = _USUAL.apply_policy(load_yaml(path), origin=str(path))
-        others = [name for name in settings.find_changes(_USUAL) if name != SECTION]
+        settings = _DEFAULT_SETTINGS.apply_policy(load_yaml(path), origin=str(path))
+        others = [
+            name for name in settings.find_changes(_DEFAULT_SETTINGS) if name != CHOICE_SECTION
+        ]
         if others:
             raise SettingsError(
                 f"{path}: a replay does not support {', '.join(others)}.",
-                remedy=f"Keep only the section '{SECTION}'.",
+                remedy=f"Keep only the section '{CHOICE_SECTION}'.",
             )
         policies[path.stem] = settings.choice
     return policies
@@ -89,12 +91,14 @@
 
 def play_policies(
     pattern: Pattern, policies: dict[str, ChoiceSettings], *, seed: int
-) -> list[Played]:
+) -> list[PolicyResult]:
     """Simulate a pattern under each policy, with the same seed."""
-    return [Played(name, _play(pattern, choice, seed)) for name, choice in policies.items()]
+    return [
+        PolicyResult(name, _simulate(pattern, choice, seed)) for name, choice in policies.items()
+    ]
 
 
-def _play(pattern: Pattern, choice: ChoiceSettings, seed: int) -> Tally:
+def _simulate(pattern: Pattern, choice: ChoiceSettings, seed: int) -> Tally:
     """Simulate a pattern under one policy."""
 
     def use(entry: ModelEntry) -> None:
@@ -104,7 +108,7 @@
     return Replay(pattern, seed=seed, adapt=use).run()
 
 
-def describe_played(played: Sequence[Played]) -> list[str]:
+def describe_played(played: Sequence[PolicyResult]) -> list[str]:
     """Describe the results in lines of text, one for each policy."""
     lines = []
     for one in played:
@@ -117,7 +121,7 @@
     return lines
 
 
-def draw(played: Sequence[Played], path: Path) -> None:
+def draw(played: Sequence[PolicyResult], path: Path) -> None:
     """Plot the requests in time, late and refused of each second, by policy.
 
     Raises
--- a/halldoor/entry/gossip.py
+++ b/halldoor/entry/gossip.py
@@ -16,7 +16,7 @@
 from halldoor.core.steering.snapshot import Snapshot
 from halldoor.entry.task import Task
 from halldoor.wire.client import PeerPool
-from halldoor.wire.convert import from_member, to_member
+from halldoor.wire.convert import from_thrift_member, to_thrift_member
 from halldoor.wire.protocol import idl
 
 FANOUT = 2
@@ -177,7 +177,7 @@
             sender=me.name,
             hall=me.hall,
             revision=me.revision,
-            members=[to_member(m) for m in updates],
+            members=[to_thrift_member(m) for m in updates],
         )
 
     def _find_hall(self, name: str) -> str:
@@ -199,7 +199,7 @@
 
     def _merge(self, gossip: Any, address: Address | None) -> None:
         """Merge a peer's records, and report its target reports and a newer revision."""
-        members = [from_member(m) for m in gossip.members or []]
+        members = [from_thrift_member(m) for m in gossip.members or []]
         with self._lock:
             me = self._membership.me
             mine = [m for m in members if m.hall == me.hall]
--- a/halldoor/entry/orders.py
+++ b/halldoor/entry/orders.py
@@ -35,7 +35,7 @@
 from halldoor.entry.remote import TO_ISSUER, RequestForwarder
 from halldoor.entry.request import Answer, Body, Request, RequestError
 from halldoor.wire.client import PeerPool
-from halldoor.wire.convert import from_refusal
+from halldoor.wire.convert import from_thrift_refusal
 
 KEPT_BODY_BYTES = 65_536
 """Largest answer body, in bytes, that is stored for repeats of an order."""
@@ -155,7 +155,7 @@
         except PeerError:
             return Failure(refuse_unreachable(holder.issuer))
         if reply.refusal is not None:
-            return Failure(from_refusal(reply.refusal))
+            return Failure(from_thrift_refusal(reply.refusal))
         return Success(reply.ticket)
 
     def _claim_operation(self, operation: str, *, is_order: bool) -> Result[Claim, Refusal]:
--- a/halldoor/entry/remote.py
+++ b/halldoor/entry/remote.py
@@ -21,7 +21,12 @@
     keep_end_to_end,
 )
 from halldoor.wire.client import PeerConnection, PeerPool
-from halldoor.wire.convert import from_headers, from_passed_over, from_refusal, to_headers
+from halldoor.wire.convert import (
+    from_thrift_headers,
+    from_thrift_passed_over,
+    from_thrift_refusal,
+    to_thrift_headers,
+)
 from halldoor.wire.protocol import CHUNK_BYTES, idl
 
 TO_TARGET, TO_ISSUER = 0, 1
@@ -86,7 +91,7 @@
         refusal = refuse(Reason.BROKEN, "No entry of the hall can be reached. Retry later.")
         for entry in self.order_by_reachability(entries):
             try:
-                connection = self._peers.open(entry.wire)
+                connection = self._peers.acquire(entry.wire)
             except PeerError as exc:
                 self._mark_unreachable(entry)
                 refusal = refuse(Reason.BROKEN, exc.message + " Retry in a second.")
@@ -121,9 +126,9 @@
             if started.admitted and not body.is_whole:
                 started = self._send_body(connection, request, body)
             if started.refusal is not None:
-                refusal = from_refusal(started.refusal)
-                passed_over = from_passed_over(started.passed_over)
-                self._peers.keep(entry.wire, connection)
+                refusal = from_thrift_refusal(started.refusal)
+                passed_over = from_thrift_passed_over(started.passed_over)
+                self._peers.release(entry.wire, connection)
                 is_kept = True
                 return Failure(HallRefusal(refusal, passed_over, started.target or "", 0))
             is_kept = True
@@ -158,14 +163,18 @@
 
         def end(is_whole: bool) -> None:
             if is_whole:
-                self._peers.keep(entry.wire, connection)
+                self._peers.release(entry.wire, connection)
             else:
                 connection.close()
 
         answer = Answer(
-            head.status, from_headers(head.headers), pieces, target=head.target or "", on_end=end
+            head.status,
+            from_thrift_headers(head.headers),
+            pieces,
+            target=head.target or "",
+            on_end=end,
         )
-        answer.passed_over = from_passed_over(started.passed_over)
+        answer.passed_over = from_thrift_passed_over(started.passed_over)
         answer.attempts = head.attempts or 1
         return answer
 
@@ -179,7 +188,7 @@
         operation=request.operation,
         method=request.method,
         path=request.path,
-        headers=to_headers(keep_end_to_end(request.headers)),
+        headers=to_thrift_headers(keep_end_to_end(request.headers)),
         deadline_ms=max(1, int(request.get_remaining_s() * 1000)),
         length=request.length,
         client=request.client,
@@ -206,7 +215,7 @@
         except PeerError as exc:
             raise build_broken_error(f"The answer broke off between halls: {exc.message}") from exc
         if chunk.refusal is not None:
-            raise RequestError(from_refusal(chunk.refusal))
+            raise RequestError(from_thrift_refusal(chunk.refusal))
         if chunk.index != index:
             raise build_broken_error(
                 "A chunk of another answer arrived, so this answer is discarded."
--- a/halldoor/entry/sessions.py
+++ b/halldoor/entry/sessions.py
@@ -29,10 +29,10 @@
 from halldoor.entry.remote import TO_ISSUER
 from halldoor.entry.request import Answer, Body, Cancellation, Request, RequestError
 from halldoor.wire.convert import (
-    from_headers,
-    to_headers,
-    to_passed_over,
-    to_refusal,
+    from_thrift_headers,
+    to_thrift_headers,
+    to_thrift_passed_over,
+    to_thrift_refusal,
 )
 from halldoor.wire.protocol import CHUNK_BYTES, idl
 from halldoor.wire.server import ConnectionHandler
@@ -177,7 +177,7 @@
         self._answer_index = 1
         head = idl.AnswerHead(
             status=answer.status,
-            headers=to_headers(answer.headers),
+            headers=to_thrift_headers(answer.headers),
             target=answer.target,
             index=0,
             data=data,
@@ -185,7 +185,7 @@
             attempts=answer.attempts,
         )
         return idl.Started(
-            admitted=True, answer=head, passed_over=to_passed_over(answer.passed_over)
+            admitted=True, answer=head, passed_over=to_thrift_passed_over(answer.passed_over)
         )
 
     def _collect_chunk(self) -> tuple[bytes, bool]:
@@ -250,7 +250,9 @@
             data, is_last = self._collect_chunk()
         except RequestError as exc:
             self._mark_finished()
-            return idl.Chunk(index=index, data=b"", last=True, refusal=to_refusal(exc.refusal))
+            return idl.Chunk(
+                index=index, data=b"", last=True, refusal=to_thrift_refusal(exc.refusal)
+            )
         if is_last:
             self._mark_finished()
         return idl.Chunk(index=index, data=data, last=is_last)
@@ -310,7 +312,7 @@
         """Issue the ticket of an id that this process has claimed."""
         issued = self._components.orders.issue_claimed(operation_id, incarnation)
         if isinstance(issued, Failure):
-            return idl.TicketReply(ticket="", refusal=to_refusal(issued.failure()))
+            return idl.TicketReply(ticket="", refusal=to_thrift_refusal(issued.failure()))
         return idl.TicketReply(ticket=issued.unwrap())
 
     def find_decision(self, decision_id: str) -> bytes:
@@ -327,7 +329,7 @@
         operation=head.operation,
         method=head.method,
         path=head.path,
-        headers=from_headers(head.headers),
+        headers=from_thrift_headers(head.headers),
         deadline=time.monotonic() + head.deadline_ms / 1000,
         length=head.length,
         client=head.client,
@@ -341,7 +343,7 @@
     """Build the refusing reply for a failure of a hall, the dispatcher or the orders."""
     if isinstance(failure, HallRefusal):
         reply = _build_refusal_reply(failure.refusal)
-        reply.passed_over = to_passed_over(failure.passed_over)
+        reply.passed_over = to_thrift_passed_over(failure.passed_over)
         reply.target = failure.target
         return reply
     return _build_refusal_reply(failure.refusal if isinstance(failure, Refused) else failure)
@@ -349,4 +351,4 @@
 
 def _build_refusal_reply(refusal: Refusal) -> Any:
     """Build the reply that carries a refusal."""
-    return idl.Started(admitted=False, refusal=to_refusal(refusal), passed_over=[])
+    return idl.Started(admitted=False, refusal=to_thrift_refusal(refusal), passed_over=[])
--- a/halldoor/keyvalue/base.py
+++ b/halldoor/keyvalue/base.py
@@ -7,7 +7,7 @@
 
 from halldoor.core.errors import PlatformError
 
-VALUE_LIMIT = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Largest value of a key, in bytes."""
 
 
@@ -53,7 +53,7 @@
         key : str
             Name of the key.
         data : bytes
-            Value, at most `VALUE_LIMIT` bytes.
+            Value, at most `MAX_VALUE_BYTES` bytes.
         expected : int or None
             Version that the key must have; 0 for a key that must not exist; None for any.
         lease : str, optional
--- a/halldoor/keyvalue/client.py
+++ b/halldoor/keyvalue/client.py
@@ -10,7 +10,7 @@
 
 from halldoor.core.errors import PlatformError
 from halldoor.keyvalue.base import (
-    VALUE_LIMIT,
+    MAX_VALUE_BYTES,
     HostState,
     Platform,
     UncertainWriteError,
@@ -19,7 +19,7 @@
 )
 
 _REMEDY = "Check the platform; halldoor continues with its cached state."
-_ANSWER_LIMIT = 4_000_000
+_MAX_ANSWER_BYTES = 4_000_000
 """Longest body of an answer that is accepted, in bytes."""
 
 
@@ -48,14 +48,14 @@
         response = self._request("GET", f"/kv/{quote(key)}")
         if response.status == 404:
             return None
-        _expect(response, 200)
+        _check_status(response, 200)
         return Value(response.data, _read_version(response))
 
     def put(self, key: str, data: bytes, *, expected: int | None, lease: str = "") -> int:
         """Write a key by compare-and-swap."""
-        if len(data) > VALUE_LIMIT:
+        if len(data) > MAX_VALUE_BYTES:
             raise PlatformError(
-                f"The value of {key} has {len(data)} bytes; at most {VALUE_LIMIT} fit.",
+                f"The value of {key} has {len(data)} bytes; at most {MAX_VALUE_BYTES} fit.",
                 remedy="Split it.",
             )
         query = "" if expected is None else f"?expected={expected}"
@@ -72,7 +72,7 @@
                 remedy="Read it again and repeat the change.",
             )
         if response.status in (400, 413):
-            _expect(response, 200)
+            _check_status(response, 200)
         if response.status != 200:
             raise UncertainWriteError(
                 f"The platform answered a write of {key} with status {response.status}.",
@@ -86,27 +86,27 @@
         response = self._request("GET", path, timeout_s=timeout_s + self._timeout_s)
         if response.status in (204, 404):
             return None
-        _expect(response, 200)
+        _check_status(response, 200)
         return Value(response.data, _read_version(response))
 
     def create_lease(self, ttl_s: float) -> str:
         """Create a lease and return its id."""
         response = self._request("POST", f"/leases?ttl_s={ttl_s}")
-        _expect(response, 200)
+        _check_status(response, 200)
         return response.data.decode(errors="replace")
 
     def renew_lease(self, lease: str) -> None:
         """Renew a lease; raise `PlatformError` if it has expired."""
-        _expect(self._request("POST", f"/leases/{quote(lease)}/renew"), 200)
+        _check_status(self._request("POST", f"/leases/{quote(lease)}/renew"), 200)
 
     def end_lease(self, lease: str) -> None:
         """End a lease before it expires, which deletes its keys at once."""
-        _expect(self._request("DELETE", f"/leases/{quote(lease)}"), 200)
+        _check_status(self._request("DELETE", f"/leases/{quote(lease)}"), 200)
 
     def list_hosts(self) -> list[HostState]:
         """List running and leaving hosts, both entries and targets."""
         response = self._request("GET", "/hosts")
-        _expect(response, 200)
+        _check_status(response, 200)
         try:
             return msgspec.json.decode(response.data, type=list[HostState])
         except msgspec.MsgspecError as exc:
@@ -126,8 +126,8 @@
                 **options,
             )
             try:
-                data = response.read(_ANSWER_LIMIT + 1)
-                if len(data) > _ANSWER_LIMIT:
+                data = response.read(_MAX_ANSWER_BYTES + 1)
+                if len(data) > _MAX_ANSWER_BYTES:
                     raise PlatformError("The platform's answer is too long.", remedy=_REMEDY)
             except BaseException:
                 response.close()
@@ -149,7 +149,7 @@
     version: str
 
 
-def _expect(response: _Response, status: int) -> None:
+def _check_status(response: _Response, status: int) -> None:
     """Raise `PlatformError` if an answer doesn't have the expected status."""
     if response.status != status:
         raise PlatformError(f"The platform answered with status {response.status}.", remedy=_REMEDY)
--- a/halldoor/keyvalue/store.py
+++ b/halldoor/keyvalue/store.py
@@ -34,16 +34,16 @@
 
 REFUSED_KEY = "audit/refused"
 """Key of the list of refused changes."""
-REFUSED_KEPT = 500
+MAX_REFUSED_RECORDS = 500
 """Records of refused changes that are kept."""
-FORMER_ROSTERS = 8
+MAX_FORMER_ROSTERS = 8
 """Former rosters that are kept for each hall."""
-READ_BACK_TRIES = 20
+READ_BACK_ATTEMPTS = 20
 READ_BACK_PAUSE_S = 0.25
 """Pause between two attempts to read back a write without an answer, in seconds."""
 
 
-class Stored(NamedTuple):
+class StoredConfiguration(NamedTuple):
     """Accepted configuration.
 
     Attributes
@@ -84,7 +84,7 @@
     verb: str
 
 
-class Committed(NamedTuple):
+class CommittedChange(NamedTuple):
     """Accepted change: its revision, and what it changed."""
 
     revision: int
@@ -107,16 +107,16 @@
         self._pause = pause
         self._parts: dict[str, bytes] = {}
 
-    def read(self) -> Stored:
+    def read(self) -> StoredConfiguration:
         """Read the accepted configuration from the platform."""
         value = self._platform.get(HEAD_KEY)
         if value is None:
-            return Stored(None, 0, None)
+            return StoredConfiguration(None, 0, None)
         head = _decode_head(value.data)
-        configuration = join_configuration(head, self._fetch(head), with_blocks=True)
-        return Stored(head, value.version, configuration)
+        configuration = join_configuration(head, self._fetch_parts(head), with_blocks=True)
+        return StoredConfiguration(head, value.version, configuration)
 
-    def _fetch(self, head: Head) -> dict[str, bytes]:
+    def _fetch_parts(self, head: Head) -> dict[str, bytes]:
         """Fetch the parts that a head names, by digest; unchanged parts come from the cache."""
         self._parts = {d: self._get_part(d) for d in head.parts.values()}
         index = read_block_index(head, self._parts)
@@ -136,8 +136,12 @@
         return value.data
 
     def commit(
-        self, edit: Callable[[Stored], Configuration], change: Change, *, base: int | None = None
-    ) -> Committed:
+        self,
+        edit: Callable[[StoredConfiguration], Configuration],
+        change: Change,
+        *,
+        base: int | None = None,
+    ) -> CommittedChange:
         """Apply an edit to the accepted configuration exactly once.
 
         If another change is committed first, the edit is applied again to the new configuration.
@@ -160,18 +164,20 @@
         """
         while True:
             stored = self.read()
-            done = self._find_done(stored, change)
-            if done is not None:
-                return done
+            committed = self._find_committed(stored, change)
+            if committed is not None:
+                return committed
             if base is not None and base != stored.revision:
                 raise self._build_conflict(stored, base)
-            configuration = _note_rosters(edit(stored), stored)
+            configuration = _record_former_rosters(edit(stored), stored)
             check_configuration(configuration, origin=f"change {change.id}")
             with contextlib.suppress(WriteConflictError):
-                return self._write(configuration, stored, change)
+                return self._write_revision(configuration, stored, change)
             # Another change was committed first, or the write was lost: read and retry.
 
-    def _write(self, configuration: Configuration, stored: Stored, change: Change) -> Committed:
+    def _write_revision(
+        self, configuration: Configuration, stored: StoredConfiguration, change: Change
+    ) -> CommittedChange:
         """Write the parts of a configuration, and then the head that names them."""
         before = to_display_data(stored.configuration)
         differences = list(compare(before, to_display_data(configuration)))
@@ -188,17 +194,17 @@
             after=[f"{d.path}: {_to_json(d.after)}" for d in differences],
         )
         bundle = split_configuration(configuration)
-        audit = msgspec.msgpack.encode(_shorten(record))
-        known = set(stored.head.parts.values()) if stored.head else set()
+        audit = msgspec.msgpack.encode(_limit_differences(record))
+        existing = set(stored.head.parts.values()) if stored.head else set()
         for name, data in {**bundle.parts, digest(audit): audit}.items():
-            if name not in known:
+            if name not in existing:
                 self._put_part(name, data)
         head = Head(revision, change.id, bundle.names, digest(audit))
         try:
             self._platform.put(HEAD_KEY, msgspec.msgpack.encode(head), expected=stored.version)
         except UncertainWriteError:
-            self._read_back(head)
-        return Committed(revision, differences)
+            self._check_head_written(head)
+        return CommittedChange(revision, differences)
 
     def _put_part(self, name: str, data: bytes) -> None:
         """Write a part under its digest; a part that exists already has the same content."""
@@ -215,7 +221,7 @@
             remedy="Send the same change again.",
         )
 
-    def _read_back(self, head: Head) -> None:
+    def _check_head_written(self, head: Head) -> None:
         """Read the head back to check whether a write without an answer took effect.
 
         Raises
@@ -225,15 +231,15 @@
         PlatformError
             If the platform does not answer.
         """
-        for _ in range(READ_BACK_TRIES):
+        for _ in range(READ_BACK_ATTEMPTS):
             try:
                 value = self._platform.get(HEAD_KEY)
                 current = _decode_head(value.data) if value else None
-                is_done = current is not None and self._has_change(current, head)
+                is_written = current is not None and self._is_in_history(current, head)
             except PlatformError:
                 self._pause(READ_BACK_PAUSE_S)
                 continue
-            if is_done:
+            if is_written:
                 return
             raise WriteConflictError("The head was not written.", remedy="Retry the change.")
         raise PlatformError(
@@ -241,22 +247,24 @@
             remedy="Send the same change id again once the platform answers.",
         )
 
-    def _has_change(self, current: Head, wanted: Head) -> bool:
+    def _is_in_history(self, current: Head, wanted: Head) -> bool:
         """Check whether the change of a head is among the last changes of the current head."""
         if current.change_id == wanted.change_id:
             return True
         return any(r.change_id == wanted.change_id for r in self.list_audit(current, limit=50))
 
-    def _find_done(self, stored: Stored, change: Change) -> Committed | None:
+    def _find_committed(
+        self, stored: StoredConfiguration, change: Change
+    ) -> CommittedChange | None:
         """Return the commit of a change that was accepted already; None if it wasn't."""
         if stored.head is None:
             return None
         for record in self.list_audit(stored.head, limit=200):
             if record.change_id == change.id:
-                return Committed(record.revision, [])
+                return CommittedChange(record.revision, [])
         return None
 
-    def _build_conflict(self, stored: Stored, base: int) -> ConflictError:
+    def _build_conflict(self, stored: StoredConfiguration, base: int) -> ConflictError:
         """Build the error that lists the changes since the operator's base revision."""
         records = []
         if stored.head is not None:
@@ -277,7 +285,7 @@
             for _ in range(5):
                 value = self._platform.get(REFUSED_KEY)
                 records = _decode_refused(value.data) if value else []
-                kept = [*records, record][-REFUSED_KEPT:]
+                kept = [*records, record][-MAX_REFUSED_RECORDS:]
                 try:
                     data = msgspec.msgpack.encode(kept)
                     self._platform.put(REFUSED_KEY, data, expected=value.version if value else 0)
@@ -315,16 +323,18 @@
         ) from exc
 
 
-def _note_rosters(configuration: Configuration, stored: Stored) -> Configuration:
+def _record_former_rosters(
+    configuration: Configuration, stored: StoredConfiguration
+) -> Configuration:
     """Return the configuration with the former rosters of each hall recorded in it."""
     if stored.configuration is None:
         return configuration
     revision = stored.revision + 1
-    halls = [_note_roster(h, stored.configuration, revision) for h in configuration.halls]
+    halls = [_record_former_roster(h, stored.configuration, revision) for h in configuration.halls]
     return msgspec.structs.replace(configuration, halls=halls)
 
 
-def _note_roster(hall: Hall, old: Configuration, revision: int) -> Hall:
+def _record_former_roster(hall: Hall, old: Configuration, revision: int) -> Hall:
     """Return the hall with its former rosters, and the revision at which its roster changed."""
     before = old.find_hall(hall.name)
     if before is None:
@@ -336,11 +346,11 @@
             former_rosters=before.former_rosters,
             roster_revision=before.roster_revision,
         )
-    former = [names, *before.former_rosters][:FORMER_ROSTERS]
+    former = [names, *before.former_rosters][:MAX_FORMER_ROSTERS]
     return msgspec.structs.replace(hall, former_rosters=former, roster_revision=revision)
 
 
-def _shorten(record: AuditRecord, limit: int = 300) -> AuditRecord:
+def _limit_differences(record: AuditRecord, limit: int = 300) -> AuditRecord:
     """Limit the differences listed in a record; the stored parts have the complete values."""
     return msgspec.structs.replace(record, before=record.before[:limit], after=record.after[:limit])
 
--- a/halldoor/server.py
+++ b/halldoor/server.py
@@ -16,9 +16,9 @@
 log = structlog.get_logger(part="http")
 
 WsgiApp = Callable[[dict[str, Any], Any], Iterable[bytes]]
-HEADER_LIMIT = 32_768
+MAX_HEADER_BYTES = 32_768
 """Longest request header, in bytes."""
-LINGER_MS = 3
+NEXT_REQUEST_WAIT_MS = 3
 """Longest wait of a worker for the next request on its connection, in milliseconds."""
 SWITCH_INTERVAL_S = 0.0005
 """Longest run of one thread while others wait, in seconds; Python's default of 5 ms is much longer
@@ -36,7 +36,7 @@
 
 
 class _Connection(HTTPConnection):
-    """Connection whose worker waits up to `LINGER_MS` for the caller's next request.
+    """Connection whose worker waits up to `NEXT_REQUEST_WAIT_MS` for the caller's next request.
 
     Otherwise each request would pass from the worker to the thread that polls all connections, and
     through the queue to another worker: two thread switches, which under the interpreter's lock
@@ -49,16 +49,16 @@
         self.server.busy += 1
         try:
             is_open = bool(super().communicate())
-            while is_open and self._has_next():
+            while is_open and self._has_next_request():
                 is_open = bool(super().communicate())
             return is_open
         finally:
             self.server.busy -= 1
 
-    def _has_next(self) -> bool:
+    def _has_next_request(self) -> bool:
         """Check whether the next request has arrived.
 
-        Waits up to `LINGER_MS` for it, unless over half of the workers are busy.
+        Waits up to `NEXT_REQUEST_WAIT_MS` for it, unless over half of the workers are busy.
         """
         if self.rfile.has_data():
             return True
@@ -66,7 +66,7 @@
             return False
         poller = select.poll()
         poller.register(self.socket, select.POLLIN)
-        return bool(poller.poll(LINGER_MS))
+        return bool(poller.poll(NEXT_REQUEST_WAIT_MS))
 
 
 class HttpServer(wsgi.Server):
@@ -108,7 +108,7 @@
         self.threads = threads
         self.busy = 0
         self.ConnectionClass = _Connection
-        self.max_request_header_size = HEADER_LIMIT
+        self.max_request_header_size = MAX_HEADER_BYTES
         self.max_request_body_size = body_limit
         self.keep_alive_conn_limit = 4_000
         self.shutdown_timeout = 2
--- a/halldoor/tests/test_fleet.py
+++ b/halldoor/tests/test_fleet.py
@@ -47,8 +47,8 @@
 
     def test_teams_over_quota_are_listed_with_refusing_gateways(self):
         texts = ['halldoor_over_quota{team="north"} 3', 'halldoor_over_quota{team="north"} 4.0']
-        told = describe_fleet([parse_metrics(f"a:{i}", text) for i, text in enumerate(texts)])
-        assert told[1] == "Team north: 7 requests over its quota, refused by 2 gateways"
+        described = describe_fleet([parse_metrics(f"a:{i}", text) for i, text in enumerate(texts)])
+        assert described[1] == "Team north: 7 requests over its quota, refused by 2 gateways"
 
     def test_gateways_with_an_older_copy_of_the_store_are_listed(self):
         views = [GatewayView("a:1", store_era=3), GatewayView("b:1", store_era=2)]
@@ -58,8 +58,8 @@
 
     def test_blocked_requests_are_counted(self):
         views = [GatewayView("a:1", blocked=1), GatewayView("b:1"), GatewayView("c:1", blocked=2)]
-        told = describe_fleet(views)[1]
-        assert told == "2 requests that crash targets, blocked by 2 of 3 gateways"
+        described = describe_fleet(views)[1]
+        assert described == "2 requests that crash targets, blocked by 2 of 3 gateways"
 
     def test_unreachable_and_lagging_gateways_come_before_excluded_targets(self):
         out = ExcludedTarget("t1", "deck", "ejected")
@@ -68,18 +68,20 @@
             GatewayView("b:1", version=6, store_age_s=9.0, targets_out=(out,)),
             GatewayView("c:1", error="ConnectTimeoutError"),
         ]
-        told = describe_fleet(views)
-        assert told[0].startswith("2 of 3 gateways answered; configuration 7; 1 watch the store; 3")
-        assert told[1] == "c:1: not reached (ConnectTimeoutError)"
-        assert told[2].startswith(
+        described = describe_fleet(views)
+        assert described[0].startswith(
+            "2 of 3 gateways answered; configuration 7; 1 watch the store; 3"
+        )
+        assert described[1] == "c:1: not reached (ConnectTimeoutError)"
+        assert described[2].startswith(
             "b:1: configuration 6 of 7, last message from the store 9.0 s ago"
         )
-        assert told[3] == "t1 of deck: ejected at 2 of 2"
+        assert described[3] == "t1 of deck: ejected at 2 of 2"
 
     def test_long_lists_are_truncated_with_a_count(self):
         views = [GatewayView(f"10.0.0.{i}:1", version=i) for i in range(100)]
-        told = describe_fleet(views)
-        assert len(told) == 22 and told[-1] == "... and 79 more"
+        described = describe_fleet(views)
+        assert len(described) == 22 and described[-1] == "... and 79 more"
 
     def test_200_silent_gateways_are_reported_within_the_limit(self):
         with socket.create_server((IP, 0), backlog=400) as silent:
--- a/halldoor/tests/test_replay_command.py
+++ b/halldoor/tests/test_replay_command.py
@@ -49,9 +49,9 @@
         plot = tmp_path / "plot.svg"
         done = run(pattern, "--policy", policy, "--plot", plot, "--output", "json")
         assert done.returncode == 0, done.stderr
-        told = msgspec.json.decode(done.stdout)
-        assert [one["policy"] for one in told] == ["as it is", "no-keys"]
-        assert told[0]["cold"] < told[1]["cold"]
+        results = msgspec.json.decode(done.stdout)
+        assert [one["policy"] for one in results] == ["as it is", "no-keys"]
+        assert results[0]["cold"] < results[1]["cold"]
         assert "<svg" in plot.read_text()[:1000]
 
     def test_same_seed_gives_same_result_and_another_seed_differs(self, tmp_path):
--- a/halldoor/wire/client.py
+++ b/halldoor/wire/client.py
@@ -17,7 +17,7 @@
 from halldoor.wire.protocol import FrameSocket, decode_reply, encode_call
 
 CONNECT_TIMEOUT_S = 0.5
-IDLE_CONNECTIONS = 32
+MAX_IDLE_CONNECTIONS = 32
 """Idle connections kept for each address."""
 
 
@@ -88,7 +88,7 @@
         self._lock = threading.Lock()
         self._idle: dict[Address, list[PeerConnection]] = {}
 
-    def open(self, address: Address) -> PeerConnection:
+    def acquire(self, address: Address) -> PeerConnection:
         """Return an idle connection that is still open, or connect if there is none."""
         while True:
             with self._lock:
@@ -101,11 +101,11 @@
                 return connection
             connection.close()
 
-    def keep(self, address: Address, connection: PeerConnection) -> None:
+    def release(self, address: Address, connection: PeerConnection) -> None:
         """Return a connection to the pool; its last call must have completed."""
         with self._lock:
             idle = self._idle.setdefault(address, [])
-            if len(idle) < IDLE_CONNECTIONS:
+            if len(idle) < MAX_IDLE_CONNECTIONS:
                 idle.append(connection)
                 return
         connection.close()
@@ -113,13 +113,13 @@
     @contextmanager
     def use(self, address: Address) -> Iterator[PeerConnection]:
         """Lend a connection; return it to the pool afterwards, or close it after an exception."""
-        connection = self.open(address)
+        connection = self.acquire(address)
         try:
             yield connection
         except BaseException:
             connection.close()
             raise
-        self.keep(address, connection)
+        self.release(address, connection)
 
     def call(self, address: Address, method: str, *, timeout_s: float, **arguments: Any) -> Any:
         """Make a single call on a pooled connection; see `PeerConnection.call`."""
--- a/halldoor/wire/convert.py
+++ b/halldoor/wire/convert.py
@@ -13,7 +13,7 @@
 _HEALTHY, _LEAVING, _PROBED = 1, 2, 4
 
 
-def to_refusal(refusal: Refusal) -> Any:
+def to_thrift_refusal(refusal: Refusal) -> Any:
     """Convert a refusal to its thrift struct."""
     return idl.Refusal(
         reason=refusal.reason.value,
@@ -24,7 +24,7 @@
     )
 
 
-def from_refusal(message: Any) -> Refusal:
+def from_thrift_refusal(message: Any) -> Refusal:
     """Convert a refusal from its thrift struct.
 
     Unknown values, which a newer entry may send, become the worst case: the request may have run,
@@ -40,27 +40,27 @@
     )
 
 
-def to_headers(headers: tuple[tuple[str, str], ...]) -> list[Any]:
+def to_thrift_headers(headers: tuple[tuple[str, str], ...]) -> list[Any]:
     """Convert headers to thrift structs."""
     return [idl.Header(name=k, value=v) for k, v in headers]
 
 
-def from_headers(messages: list[Any] | None) -> tuple[tuple[str, str], ...]:
+def from_thrift_headers(messages: list[Any] | None) -> tuple[tuple[str, str], ...]:
     """Convert headers from thrift structs."""
     return tuple((m.name, m.value) for m in messages or [])
 
 
-def to_passed_over(items: list[PassedOver]) -> list[Any]:
+def to_thrift_passed_over(items: list[PassedOver]) -> list[Any]:
     """Convert candidates that were passed over, with the reasons, to thrift structs."""
     return [idl.PassedOver(name=p.name, why=p.why) for p in items]
 
 
-def from_passed_over(messages: list[Any] | None) -> list[PassedOver]:
+def from_thrift_passed_over(messages: list[Any] | None) -> list[PassedOver]:
     """Convert candidates that were passed over from thrift structs."""
     return [PassedOver(m.name, m.why) for m in messages or []]
 
 
-def to_member(member: Member) -> Any:
+def to_thrift_member(member: Member) -> Any:
     """Convert a membership record to its thrift struct."""
     return idl.Member(
         name=member.name,
@@ -73,13 +73,13 @@
         is_leaving=member.is_leaving,
         sees_platform=member.sees_platform,
         reports=[
-            idl.TargetReport(target=r.target, free=r.free, flags=_to_flags(r))
+            idl.TargetReport(target=r.target, free=r.free, flags=_pack_flags(r))
             for r in member.reports
         ],
     )
 
 
-def from_member(message: Any) -> Member:
+def from_thrift_member(message: Any) -> Member:
     """Convert a membership record from its thrift struct."""
     return Member(
         message.name,
@@ -91,16 +91,16 @@
         message.revision,
         message.is_leaving,
         message.sees_platform,
-        tuple(_from_report(r) for r in message.reports or []),
+        tuple(_from_thrift_report(r) for r in message.reports or []),
     )
 
 
-def _to_flags(report: TargetReport) -> int:
+def _pack_flags(report: TargetReport) -> int:
     """Pack the boolean fields of a target report into bits."""
     return _HEALTHY * report.is_healthy + _LEAVING * report.is_leaving + _PROBED * report.is_probed
 
 
-def _from_report(message: Any) -> TargetReport:
+def _from_thrift_report(message: Any) -> TargetReport:
     """Convert a target report from its thrift struct."""
     flags = message.flags
     return TargetReport(
--- a/halldoor/wire/protocol.py
+++ b/halldoor/wire/protocol.py
@@ -22,7 +22,7 @@
 Service: Any = idl.Entry
 """The thrift service that entries call; see `halldoor.wire.server.ConnectionHandler`."""
 
-FRAME_LIMIT = 2_000_000
+MAX_FRAME_BYTES = 2_000_000
 """Longest frame that is accepted, in bytes; each part of the configuration fits into one."""
 CHUNK_BYTES = 131_072
 """Approximate size of one chunk of a request or response body, in bytes."""
@@ -43,8 +43,8 @@
     """
 
     def __init__(self) -> None:
-        self.sent = 0
-        self.received = 0
+        self.sent_bytes = 0
+        self.received_bytes = 0
         self.frames = 0
 
 
@@ -71,7 +71,7 @@
     def send(self, frame: bytes) -> None:
         """Send one frame."""
         # Counted without a lock: the counters are only reported, so a rare lost update is harmless.
-        traffic.sent += len(frame) + _LENGTH.size
+        traffic.sent_bytes += len(frame) + _LENGTH.size
         traffic.frames += 1
         self._sock.sendall(_LENGTH.pack(len(frame)) + frame)
 
@@ -85,17 +85,17 @@
         PeerError
             If the frame is empty, too long or incomplete.
         """
-        head = self._receive_exactly(_LENGTH.size, is_first=True)
+        head = self._receive_exactly(_LENGTH.size, is_frame_start=True)
         (length,) = _LENGTH.unpack(head)
-        if length == 0 or length > FRAME_LIMIT:
+        if length == 0 or length > MAX_FRAME_BYTES:
             raise PeerError(
-                f"Received a frame of {length} bytes; 1 to {FRAME_LIMIT} are accepted.",
+                f"Received a frame of {length} bytes; 1 to {MAX_FRAME_BYTES} are accepted.",
                 remedy="Check that only halldoor entries connect to the wire port.",
             )
-        traffic.received += length + _LENGTH.size
-        return self._receive_exactly(length, is_first=False)
+        traffic.received_bytes += length + _LENGTH.size
+        return self._receive_exactly(length, is_frame_start=False)
 
-    def _receive_exactly(self, length: int, *, is_first: bool) -> bytes:
+    def _receive_exactly(self, length: int, *, is_frame_start: bool) -> bytes:
         """Receive a number of bytes.
 
         Reads in pieces, so that a false length doesn't make this process allocate memory.
@@ -105,7 +105,7 @@
         while missing:
             part = self._sock.recv(min(missing, 262_144))
             if not part:
-                if is_first and missing == length:
+                if is_frame_start and missing == length:
                     raise EOFError
                 raise PeerError(
                     "The connection closed inside a frame.", remedy="Look at the peer's log."
@@ -147,7 +147,7 @@
         return bytes(part)
 
 
-def _open_frame(frame: bytes) -> Any:
+def _build_frame_decoder(frame: bytes) -> Any:
     """Return a thrift protocol that decodes one frame."""
     return TCyBinaryProtocol(TCyBufferedTransport(_FrameReader(frame)))
 
@@ -170,12 +170,12 @@
     PeerError
         If the peer failed, the reply can't be decoded, or it answers another call.
     """
-    protocol = _open_frame(frame)
+    protocol = _build_frame_decoder(frame)
     try:
-        name, kind, got = protocol.read_message_begin()
-        if (name, got) != (method, sequence):
+        name, kind, received_sequence = protocol.read_message_begin()
+        if (name, received_sequence) != (method, sequence):
             raise PeerError(
-                f"Received a reply to {name} #{got} instead of {method} #{sequence}.",
+                f"Received a reply to {name} #{received_sequence} instead of {method} #{sequence}.",
                 remedy="The connection is closed; the caller may retry.",
             )
         if kind == TMessageType.EXCEPTION:
@@ -202,7 +202,7 @@
         If the frame isn't a valid call; the connection must then be closed.
     """
     out = TCyMemoryBuffer()
-    reader, writer = _open_frame(frame), TCyBinaryProtocol(out)
+    reader, writer = _build_frame_decoder(frame), TCyBinaryProtocol(out)
     processor = TProcessor(Service, handler)
     try:
         method, sequence, result, call = processor.process_in(reader)
--- a/halldoor/wire/server.py
+++ b/halldoor/wire/server.py
@@ -16,7 +16,7 @@
 
 log = structlog.get_logger(part="wire")
 
-CONNECTION_LIMIT = 512
+MAX_CONNECTIONS = 512
 """Connections open at once; further ones are closed on arrival."""
 IDLE_TIMEOUT_S = 120.0
 """Longest time without a call after which a connection is closed, in seconds."""
@@ -73,11 +73,11 @@
             except OSError:
                 return
             with self._lock:
-                is_full = len(self._open) >= CONNECTION_LIMIT
+                is_full = len(self._open) >= MAX_CONNECTIONS
             if is_full:
                 log.warning(
                     "Closed a new connection from an entry: too many are open.",
-                    limit=CONNECTION_LIMIT,
+                    limit=MAX_CONNECTIONS,
                 )
                 sock.close()
                 continue
--- a/properties/test_store.py
+++ b/properties/test_store.py
@@ -85,26 +85,29 @@
         )
 
     @rule(
-        who=st.integers(0, 1), where=st.sampled_from(TARGETS), leaving=st.booleans(), faults=FAULTS
+        operator=st.integers(0, 1),
+        target_name=st.sampled_from(TARGETS),
+        leaving=st.booleans(),
+        faults=FAULTS,
     )
-    def change(self, who, where, leaving, faults):
+    def change(self, operator, target_name, leaving, faults):
         """Commit a change while writes fail, sending it again after each failure."""
         self.number += 1
         change_id = f"c{self.number}"
         self.platform.script = list(faults)
         for _ in range(8):
             try:
-                self.drain(who, where, leaving, change_id)
+                self.drain(operator, target_name, leaving, change_id)
                 break
             except PlatformError:
                 continue
         self.platform.script = []
-        self.drain(who, where, leaving, change_id)
-        self.wanted[where] = leaving
+        self.drain(operator, target_name, leaving, change_id)
+        self.wanted[target_name] = leaving
         self.accepted.append(change_id)
 
-    @rule(who=st.integers(0, 1))
-    def race(self, who):
+    @rule(operator=st.integers(0, 1))
+    def race(self, operator):
         """Let the other operator commit just before this operator's head is written."""
         self.number += 1
         mine, other = f"c{self.number}", f"o{self.number}"
@@ -113,28 +116,28 @@
             """Commit the other operator's change before the first write of the head."""
             if key == "config/head":
                 self.platform.before_write = lambda key: None
-                self.drain(1 - who, TARGETS[1], True, other)
+                self.drain(1 - operator, TARGETS[1], True, other)
 
         self.platform.before_write = interfere
-        self.drain(who, TARGETS[0], True, mine)
+        self.drain(operator, TARGETS[0], True, mine)
         self.wanted = dict.fromkeys(TARGETS, True)
         self.accepted += [other, mine]
 
-    @rule(who=st.integers(0, 1), change=st.data())
-    def repeat(self, who, change):
+    @rule(operator=st.integers(0, 1), change=st.data())
+    def repeat(self, operator, change):
         """Send an accepted change again, which must change nothing."""
         change_id = change.draw(st.sampled_from(self.accepted))
         before = self.platform.values["config/head"]
-        self.drain(who, TARGETS[0], not self.wanted[TARGETS[0]], change_id)
+        self.drain(operator, TARGETS[0], not self.wanted[TARGETS[0]], change_id)
         assert self.platform.values["config/head"] == before
 
-    @rule(who=st.integers(0, 1))
-    def apply_against_an_old_revision(self, who):
+    @rule(operator=st.integers(0, 1))
+    def apply_against_an_old_revision(self, operator):
         """Apply with revision 1 as the base after later changes, which must be a conflict."""
         if self.revision < 2:
             return
         with pytest.raises(ConflictError, match="in force"):
-            self.stores[who].commit(
+            self.stores[operator].commit(
                 lambda s: s.configuration, Change("stale", "ops", "apply"), base=1
             )
 
