--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from benchmarks.common import format_table, write_result
-from halldoor.standins.crashfleet import CountingWay, Fleet, Run, Trouble
+from halldoor.standins.crashfleet import CrashCounting, Faults, Fleet, Run
 from halldoor.standins.crashways import (
+    BroadcastCounting,
     Collectors,
     CollectorsAndRecord,
-    NoSum,
-    OwnSum,
-    StoreSum,
-    TellAll,
+    LocalCounting,
+    NoCounting,
+    StoreCounting,
 )
 
 FLEETS = (10, 75, 300)
@@ -19,26 +19,26 @@
 """Seeds of the runs; each row reports the worst run unless its column says otherwise."""
 UNTIL_S = 12.0
 """Length of a run, in seconds."""
-WAYS: dict[str, type[CountingWay]] = {
-    "no counting": NoSum,
-    "each entry's own crashes": OwnSum,
-    "broadcast to all entries": TellAll,
-    "a record in the store": StoreSum,
+WAYS: dict[str, type[CrashCounting]] = {
+    "no counting": NoCounting,
+    "each entry's own crashes": LocalCounting,
+    "broadcast to all entries": BroadcastCounting,
+    "a record in the store": StoreCounting,
     "collectors": Collectors,
     "collectors, and a record": CollectorsAndRecord,
 }
 """Ways to count crashes, by the name in the table."""
 TROUBLES = {
-    "none": Trouble(),
-    "0.2 of the messages lost": Trouble(loss=0.2),
-    "halls cut from each other": Trouble(cut_s=(0.0, UNTIL_S)),
-    "store away for 4 s": Trouble(away_s=(0.0, 4.0)),
-    "all restart after 1 s": Trouble(restart_s=1.0),
+    "none": Faults(),
+    "0.2 of the messages lost": Faults(loss=0.2),
+    "halls cut from each other": Faults(cut_s=(0.0, UNTIL_S)),
+    "store away for 4 s": Faults(away_s=(0.0, 4.0)),
+    "all restart after 1 s": Faults(restart_s=1.0),
 }
 """Faults by the name in the table."""
 
 
-def run_way(way: str, fleet: Fleet, trouble: Trouble, seed: int) -> Run:
+def run_way(way: str, fleet: Fleet, trouble: Faults, seed: int) -> Run:
     """Run one way of counting crashes under a fault."""
     return Run(fleet, trouble, seed=seed).play(WAYS[way](), until_s=UNTIL_S)
 
@@ -51,17 +51,17 @@
     """
     fleet = Fleet(entries=entries)
     by_trouble = {n: [run_way(way, fleet, t, seed) for seed in SEEDS] for n, t in TROUBLES.items()}
-    late = [max(run.count_late() for run in runs) for runs in by_trouble.values()]
+    late = [max(run.count_late_sends() for run in runs) for runs in by_trouble.values()]
     calm = by_trouble["none"]
-    rack = run_way(way, Fleet(entries=entries, bad_per_s=0.0, rack=500), Trouble(), 0)
+    rack = run_way(way, Fleet(entries=entries, bad_per_s=0.0, rack=500), Faults(), 0)
     popular = Fleet(entries=entries, bad_per_s=0.0, popular_per_s=8.0, ends_per_s=1.2)
-    runs = [run_way(way, popular, Trouble(), seed) for seed in SEEDS]
+    runs = [run_way(way, popular, Faults(), seed) for seed in SEEDS]
     asked = sum(run.served + run.refused + run.lost for run in runs)
     return [
         entries,
         way,
         *late,
-        max(len(run.ended) for run in calm),
+        max(len(run.crash_times) for run in calm),
         max(run.messages for run in calm),
         max(run.store_calls for run in calm),
         f"{rack.messages}, {rack.store_calls}",
--- a/benchmarks/inforce.py
+++ b/benchmarks/inforce.py
@@ -32,7 +32,7 @@
     fleet = StoreFleet(entries=entries, halls=halls, targets=TARGETS_AN_ENTRY * entries)
     fleet.configure(1)
     await fleet.start(within_s=0.5)
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     await asyncio.sleep(2 * fleet.settings.direct_s)
     loop = asyncio.get_running_loop()
     began, began_cpu = loop.time(), time.process_time()
@@ -43,7 +43,7 @@
             fleet.write_target(int(loop.time() * 1000) % (TARGETS_AN_ENTRY * entries), "h0")
             await asyncio.sleep(1 / CHANGES_PER_S)
         fleet.configure(version)
-        times.append(await fleet.wait(version))
+        times.append(await fleet.wait_until_synchronized(version))
     used_ms = (time.process_time() - began_cpu) * 1000 / entries / (loop.time() - began)
     fleet.stop()
     return [f"{entries}, {halls}", f"{min(times):.2f}", f"{max(times):.2f}", f"{used_ms:.1f}"]
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -9,7 +9,7 @@
     NotifiedEntries,
     OwnAnswers,
 )
-from halldoor.standins.ratefleet import Bound, RateWay, Run, Trouble
+from halldoor.standins.ratefleet import Bound, Faults, RateStrategy, Run
 
 FLEETS = (10, 75, 300)
 """Numbers of entries."""
@@ -22,14 +22,14 @@
 ASKED_PER_S = {"busy target": 30.0, "seldom used target": 6.0}
 """Requests a second for the target, over all entries."""
 TROUBLES = {
-    "none": Trouble(),
-    "half isolated": Trouble(cut_share=0.5, is_isolated=True, cut_to_s=UNTIL_S),
-    "a fifth of the messages lost": Trouble(loss=0.2),
-    "nine tenths of the messages lost": Trouble(loss=0.9),
-    "all restart": Trouble(restart_s=8.0),
+    "none": Faults(),
+    "half isolated": Faults(cut_share=0.5, is_isolated=True, cut_to_s=UNTIL_S),
+    "a fifth of the messages lost": Faults(loss=0.2),
+    "nine tenths of the messages lost": Faults(loss=0.9),
+    "all restart": Faults(restart_s=8.0),
 }
 """Faults by the name in the table."""
-WAYS: dict[str, type[RateWay]] = {
+WAYS: dict[str, type[RateStrategy]] = {
     "own answers": OwnAnswers,
     "notices": NotifiedEntries,
     "notices, passed on": ForwardedNotices,
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -7,12 +7,12 @@
 from halldoor.standins.quotafleet import (
     MESSAGE_BYTES,
     CollectorShares,
-    DemandParts,
-    EqualParts,
+    DemandShares,
+    EqualShares,
+    Faults,
     HomeTokens,
-    QuotaWay,
+    QuotaStrategy,
     Run,
-    Trouble,
 )
 
 FLEETS = (12, 75, 300)
@@ -28,9 +28,9 @@
 }
 """Load patterns: factor of the surge, and share of the entries that most callers use; None for
 equal use of all."""
-WAYS: dict[str, type[QuotaWay]] = {
-    "equal parts": EqualParts,
-    "parts by demand": DemandParts,
+WAYS: dict[str, type[QuotaStrategy]] = {
+    "equal parts": EqualShares,
+    "parts by demand": DemandShares,
     "tokens of a home entry": HomeTokens,
     "shares of a collector": CollectorShares,
 }
@@ -39,14 +39,14 @@
 """Length of a run, in seconds."""
 
 
-def run_team(way: type[QuotaWay], entries: int, rate: float, pattern: str, seed: int) -> Run:
+def run_team(way: type[QuotaStrategy], entries: int, rate: float, pattern: str, seed: int) -> Run:
     """Run one team under a load pattern."""
     factor, used_share = PATTERNS[pattern]
     weights = None
     if used_share is not None:
         few = max(1, round(used_share * entries))
         weights = [20.0] * few + [0.1] * (entries - few)
-    run = Run(entries, TeamLimit(rate, rate), Trouble(), seed=seed)
+    run = Run(entries, TeamLimit(rate, rate), Faults(), seed=seed)
     return run.play(
         way(),
         lambda now: USUAL_SHARE * rate * (factor if 3.0 <= now < 10.0 else 1.0),
--- a/benchmarks/rates.py
+++ b/benchmarks/rates.py
@@ -6,12 +6,12 @@
 from halldoor.standins.ratefleet import (
     Bound,
     EqualBuckets,
+    Faults,
     HomeGrants,
     RankedShares,
-    RateWay,
+    RateStrategy,
     Run,
     SteadyRankedShares,
-    Trouble,
 )
 
 FLEETS = (10, 75, 300)
@@ -27,16 +27,16 @@
 }
 """Rate limits by the name in the table."""
 TROUBLES = {
-    "none": Trouble(),
-    "half without the store": Trouble(cut_share=0.5),
-    "nine tenths without the store": Trouble(cut_share=0.9),
-    "half isolated": Trouble(cut_share=0.5, is_isolated=True),
-    "nine tenths isolated": Trouble(cut_share=0.9, is_isolated=True),
-    "a fifth of the messages lost": Trouble(loss=0.2),
-    "all restart": Trouble(restart_s=6.0),
+    "none": Faults(),
+    "half without the store": Faults(cut_share=0.5),
+    "nine tenths without the store": Faults(cut_share=0.9),
+    "half isolated": Faults(cut_share=0.5, is_isolated=True),
+    "nine tenths isolated": Faults(cut_share=0.9, is_isolated=True),
+    "a fifth of the messages lost": Faults(loss=0.2),
+    "all restart": Faults(restart_s=6.0),
 }
 """Faults by the name in the table."""
-WAYS: dict[str, type[RateWay]] = {
+WAYS: dict[str, type[RateStrategy]] = {
     "equal token buckets": EqualBuckets,
     "grants of a home entry": HomeGrants,
     "ranked shares": RankedShares,
@@ -59,7 +59,8 @@
     ]
     worst = max(run.find_worst_window() / run.bound.allowed for run in runs)
     used, cut_used = (
-        sum(run.find_use(is_cut=is_cut) for run in runs) / len(runs) for is_cut in (False, True)
+        sum(run.compute_used_share(is_cut=is_cut) for run in runs) / len(runs)
+        for is_cut in (False, True)
     )
     messages = max(run.messages for run in runs)
     cut_text = f"{cut_used:.2f}" if TROUBLES[trouble].cut_share else ""
--- a/benchmarks/reaction.py
+++ b/benchmarks/reaction.py
@@ -111,7 +111,7 @@
         done = fleet.run_cli("drain", "b1-t1", *options)
         wanted = int(done.stdout.split("revision ")[1].split()[0])
         time.sleep(2.0)
-        fleet.heal()
+        fleet.end_cuts()
         times.append(
             wait_until(
                 lambda wanted=wanted: all(  # type: ignore[misc]
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -35,7 +35,7 @@
 
     async def add_row(what: str, version: int, began: float, bytes_before: int) -> None:
         """Wait until all are up to date, and add the row with the calls within `WINDOW_S`."""
-        took_s = await fleet.wait(version) + now() - began if what else 0.0
+        took_s = await fleet.wait_until_synchronized(version) + now() - began if what else 0.0
         took_s = now() - began
         await asyncio.sleep(max(0.0, began + WINDOW_S - now()))
         calls = fleet.count_calls(began, began + WINDOW_S)
@@ -48,7 +48,7 @@
                 calls["lease"] + calls["write"],
                 calls["renewal"],
                 f"{took_s:.2f}",
-                f"{(fleet.handed_bytes - bytes_before) / 1e6:.1f}",
+                f"{(fleet.answer_bytes - bytes_before) / 1e6:.1f}",
             ]
         )
         await asyncio.sleep(10.0)
@@ -57,19 +57,19 @@
     await fleet.start(within_s=0.5)
     await add_row("first start", 1, began, 0)
     copy = fleet.store.copy()
-    began, handed = now(), fleet.handed_bytes
+    began, handed = now(), fleet.answer_bytes
     await add_row("nothing", 1, began, handed)
     fleet.configure(2)
     await asyncio.sleep(5.0)
-    handed = fleet.handed_bytes
-    fleet.store.cut()
+    handed = fleet.answer_bytes
+    fleet.store.take_down()
     await asyncio.sleep(0.5)
     began = now()
     fleet.store.restore(copy)
     fleet.store.is_down = False
     fleet.configure(3)
     await add_row("store restored", 3, began, handed)
-    began, handed = now(), fleet.handed_bytes
+    began, handed = now(), fleet.answer_bytes
     await fleet.start(within_s=0.5)
     await add_row("all start again", 3, began, handed)
     fleet.stop()
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from benchmarks.common import format_table, write_result
-from halldoor.standins.ratefleet import Bound, Run, Trouble
+from halldoor.standins.ratefleet import Bound, Faults, Run
 from halldoor.standins.restways import (
     DoublingShares,
-    Need,
-    NotifiedRests,
-    OwnRests,
+    LocalBackoff,
+    NotifiedBackoff,
+    RefusalPhase,
     SingleTrials,
     SlowStart,
-    SpreadCallers,
+    SpreadRetries,
 )
 
 FLEETS = (10, 75, 300)
@@ -26,19 +26,22 @@
 """Window in which the largest number of requests is counted, in seconds."""
 ASKED_PER_S = 40.0
 """Requests a second for the target, over all entries: about what its slots can serve."""
-NEEDS = {"all turned away for 6 s": Need(), "one entry turned away": Need(only_first=True)}
+NEEDS = {
+    "all turned away for 6 s": RefusalPhase(),
+    "one entry turned away": RefusalPhase(only_first=True),
+}
 """When and whom the target refuses, by the name in the table."""
 TROUBLES = {
-    "none": Trouble(),
-    "half isolated": Trouble(cut_share=0.5, is_isolated=True),
-    "a fifth of the messages lost": Trouble(loss=0.2),
-    "all restart": Trouble(restart_s=5.0),
+    "none": Faults(),
+    "half isolated": Faults(cut_share=0.5, is_isolated=True),
+    "a fifth of the messages lost": Faults(loss=0.2),
+    "all restart": Faults(restart_s=5.0),
 }
 """Faults by the name in the table."""
-WAYS: dict[str, type[OwnRests]] = {
-    "own rests": OwnRests,
-    "notices": NotifiedRests,
-    "own rests, callers spread": SpreadCallers,
+WAYS: dict[str, type[LocalBackoff]] = {
+    "own rests": LocalBackoff,
+    "notices": NotifiedBackoff,
+    "own rests, callers spread": SpreadRetries,
     "the same, single trials": SingleTrials,
     "the same, slow start": SlowStart,
     "the same, doubling shares": DoublingShares,
@@ -46,7 +49,7 @@
 """Ways to back off and resume, by the name in the table."""
 
 
-def count_burst(run: Run, need: Need) -> int:
+def count_burst(run: Run, need: RefusalPhase) -> int:
     """Return the most requests in any `BURST_WINDOW_S` after the target accepts requests again."""
     times = sorted(at for at, _ in run.sent if need.to_s <= at < need.to_s + RESUME_S)
     return max((sum(at <= t < at + BURST_WINDOW_S for t in times) for at in times), default=0)
@@ -77,8 +80,8 @@
         entries,
         trouble,
         way,
-        max(len(played.turned_away) for played in ways),
-        max(played.find_most_in_rest() for played in ways),
+        max(len(played.refusals) for played in ways),
+        max(played.find_most_during_backoff() for played in ways),
         max(count_burst(played.run, NEEDS[need]) for played in ways),
         f"{sent / asked:.2f}",
         spared,
--- a/benchmarks/withdrawals.py
+++ b/benchmarks/withdrawals.py
@@ -14,14 +14,14 @@
 from halldoor.standins.storefaults import FAULTS
 from halldoor.standins.virtualtime import run
 from halldoor.standins.withdrawals import (
-    GROWN,
+    LARGE,
     SMALL,
     Deployment,
-    Times,
-    Way,
-    measure,
+    ExclusionTimes,
+    WithdrawalKind,
+    measure_withdrawal,
     open_fleet,
-    start,
+    start_fleet,
 )
 
 SEEDS = 4
@@ -52,18 +52,20 @@
         yield from itertools.combinations(FAULTS, count)
 
 
-def measure_faults(deployment: Deployment, faults: Sequence[str]) -> dict[Way, Times]:
+def measure_faults(
+    deployment: Deployment, faults: Sequence[str]
+) -> dict[WithdrawalKind, ExclusionTimes]:
     """Measure withdrawals of each kind while some faults are active."""
-    times = {way: Times([], []) for way in Way}
+    times = {way: ExclusionTimes([], []) for way in WithdrawalKind}
 
     async def measure_all() -> None:
         """Start a fleet, and withdraw one target after the other."""
         fleet = open_fleet(deployment, seed=1)
-        await start(fleet)
-        for number, (seed, way) in enumerate(itertools.product(range(SEEDS), Way)):
+        await start_fleet(fleet)
+        for number, (seed, way) in enumerate(itertools.product(range(SEEDS), WithdrawalKind)):
             random = Random(f"{seed} {way.value} {faults}")
-            measured = await measure(fleet, number, way, faults, random)
-            times[way] = Times(
+            measured = await measure_withdrawal(fleet, number, way, faults, random)
+            times[way] = ExclusionTimes(
                 times[way].in_touch + measured.in_touch, times[way].others + measured.others
             )
         fleet.stop()
@@ -81,7 +83,7 @@
     return [
         sum(deployment.entries),
         ", ".join(faults) or "none",
-        *(_format(times[way].in_touch) for way in Way),
+        *(_format(times[way].in_touch) for way in WithdrawalKind),
         f"{max(others):.2f}" if others else "",
         deployment.bound_s,
         "over" if last > deployment.bound_s - TRAVEL_S else "",
@@ -102,7 +104,7 @@
     wanted = set(sys.argv[1:])
     cases = [
         (deployment, faults)
-        for deployment in (GROWN, *SMALL)
+        for deployment in (LARGE, *SMALL)
         for faults in list_faults()
         if wanted <= set(faults)
     ]
--- a/halldoor/standins/crashfleet.py
+++ b/halldoor/standins/crashfleet.py
@@ -18,9 +18,9 @@
 from halldoor.core.settings import Address
 from halldoor.core.targets.changes import MemberRecord
 
-BAD = "bad"
+CRASHING_REQUEST = "bad"
 """Digest of the request that crashes its targets."""
-POPULAR = "popular"
+HARMLESS_REQUEST = "popular"
 """Digest of the harmless request."""
 WORK_S = 0.075
 """Time for which a request runs before it is answered or crashes its target, in seconds."""
@@ -56,7 +56,7 @@
     rack_s: float = 3.0
 
 
-class Trouble(NamedTuple):
+class Faults(NamedTuple):
     """Faults of the messages, the store and the entries in a run.
 
     Attributes
@@ -90,15 +90,15 @@
         Number of messages between entries and of calls to the store.
     """
 
-    def __init__(self, fleet: Fleet, trouble: Trouble, *, seed: int) -> None:
-        self.fleet, self.trouble = fleet, trouble
+    def __init__(self, fleet: Fleet, faults: Faults, *, seed: int) -> None:
+        self.fleet, self.faults = fleet, faults
         self.random = Random(seed)
         self.members = [
             MemberRecord(f"e{i}", ADDRESS, f"hall{i % fleet.halls}", "r", ADDRESS)
             for i in range(fleet.entries)
         ]
         self.sent: list[float] = []
-        self.ended: list[float] = []
+        self.crash_times: list[float] = []
         self.served = self.refused = self.lost = 0
         self.messages = self.store_calls = 0
         self._targets = {f"t{i}" for i in range(fleet.targets)}
@@ -106,27 +106,27 @@
         self._names = itertools.count(fleet.targets)
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._numbers = itertools.count()
-        self._way: CountingWay
+        self._strategy: CrashCounting
 
-    def at(self, when: float, action: Callable[..., None], *args: Any) -> None:
+    def schedule(self, when: float, action: Callable[..., None], *args: Any) -> None:
         """Schedule an action at a time; the time is passed as its first argument."""
         heapq.heappush(self._events, (when, next(self._numbers), action, args))
 
-    def play(self, way: CountingWay, *, until_s: float = 12.0) -> Run:
+    def play(self, strategy: CrashCounting, *, until_s: float = 12.0) -> Run:
         """Run the simulation with a strategy until a time in seconds."""
-        self._way = way
-        way.start(self)
+        self._strategy = strategy
+        strategy.start(self)
         fleet = self.fleet
         for per_s, action in (
-            (fleet.bad_per_s, partial(self._ask, BAD)),
-            (fleet.popular_per_s, partial(self._ask, POPULAR)),
-            (fleet.ends_per_s, self._end_one),
+            (fleet.bad_per_s, partial(self._receive_request, CRASHING_REQUEST)),
+            (fleet.popular_per_s, partial(self._receive_request, HARMLESS_REQUEST)),
+            (fleet.ends_per_s, self._crash_one),
         ):
             self._repeat(0.0, per_s, action)
-        self.at(self.trouble.restart_s, way.restart)
+        self.schedule(self.faults.restart_s, strategy.restart)
         for i in range(fleet.rack):
             entry = self.random.randrange(fleet.entries)
-            self.at(fleet.rack_s, self._lose, entry, f"d{i}", f"t{i % fleet.targets}")
+            self.schedule(fleet.rack_s, self._fail_attempt, entry, f"d{i}", f"t{i % fleet.targets}")
         while self._events and self._events[0][0] < until_s:
             when, _, action, args = heapq.heappop(self._events)
             action(when, *args)
@@ -135,102 +135,106 @@
     def _repeat(self, now: float, per_s: float, action: Callable[[float], None]) -> None:
         """Schedule an action at random times with a mean rate a second; 0 means never."""
         if per_s:
-            self.at(now + self.random.expovariate(per_s), self._do, per_s, action)
+            self.schedule(now + self.random.expovariate(per_s), self._run_and_repeat, per_s, action)
 
-    def _do(self, now: float, per_s: float, action: Callable[[float], None]) -> None:
+    def _run_and_repeat(self, now: float, per_s: float, action: Callable[[float], None]) -> None:
         """Run an action, and schedule its next run."""
         action(now)
         self._repeat(now, per_s, action)
 
-    def _ask(self, digest: str, now: float) -> None:
+    def _receive_request(self, digest: str, now: float) -> None:
         """Send a request to a randomly chosen entry."""
         self._send(now, self.random.randrange(self.fleet.entries), digest, ATTEMPTS)
 
     def _send(self, now: float, entry: int, digest: str, attempts: int) -> None:
         """Send a request to a random target, unless the entry blocks it or no target runs."""
-        if self._way.is_blocked(now, entry, digest):
-            self.refused += digest == POPULAR
+        if self._strategy.is_blocked(now, entry, digest):
+            self.refused += digest == HARMLESS_REQUEST
             return
         if not self._targets:
-            self.lost += digest == POPULAR
+            self.lost += digest == HARMLESS_REQUEST
             return
         target = self.random.choice(sorted(self._targets))
-        if digest == BAD:
+        if digest == CRASHING_REQUEST:
             self.sent.append(now)
-        lose = partial(self._lose, entry=entry, digest=digest, target=target, attempts=attempts)
-        self._running.setdefault(target, []).append(lose)
-        self.at(now + WORK_S, self._finish, entry, digest, target, lose)
+        fail = partial(
+            self._fail_attempt, entry=entry, digest=digest, target=target, attempts=attempts
+        )
+        self._running.setdefault(target, []).append(fail)
+        self.schedule(now + WORK_S, self._finish, entry, digest, target, fail)
 
     def _finish(
-        self, now: float, entry: int, digest: str, target: str, lose: Callable[[float], None]
+        self, now: float, entry: int, digest: str, target: str, fail: Callable[[float], None]
     ) -> None:
         """Finish a request, or crash its target if it is the crashing one."""
-        if lose not in self._running.get(target, ()):
+        if fail not in self._running.get(target, ()):
             return
-        if digest == BAD:
-            self.ended.append(now)
-            self._end(now, target)
+        if digest == CRASHING_REQUEST:
+            self.crash_times.append(now)
+            self._crash(now, target)
             return
-        self._running[target].remove(lose)
+        self._running[target].remove(fail)
         self.served += 1
-        self._way.note_answer(now, entry, digest)
+        self._strategy.record_answer(now, entry, digest)
 
-    def _end(self, now: float, target: str) -> None:
+    def _crash(self, now: float, target: str) -> None:
         """Crash a target: all its requests fail, and a replacement is scheduled."""
         self._targets.discard(target)
-        for lose in self._running.pop(target, []):
-            lose(now)
-        self.at(now + self.random.uniform(*AWAY_S), self._start)
+        for fail in self._running.pop(target, []):
+            fail(now)
+        self.schedule(now + self.random.uniform(*AWAY_S), self._start_target)
 
-    def _start(self, now: float) -> None:
+    def _start_target(self, now: float) -> None:
         """Start a target under a new name."""
         self._targets.add(f"t{next(self._names)}")
 
-    def _end_one(self, now: float) -> None:
+    def _crash_one(self, now: float) -> None:
         """Crash a random target among those that run a request, if there is one."""
         running = sorted(t for t, runs in self._running.items() if runs)
         if running:
-            self._end(now, self.random.choice(running))
+            self._crash(now, self.random.choice(running))
 
-    def _lose(self, now: float, entry: int, digest: str, target: str, attempts: int = 1) -> None:
+    def _fail_attempt(
+        self, now: float, entry: int, digest: str, target: str, attempts: int = 1
+    ) -> None:
         """Record at an entry that a request crashed its target; retry if attempts are left."""
-        self._way.note_end(now, entry, digest, target)
+        self._strategy.record_crash(now, entry, digest, target)
         if attempts > 1:
             self._send(now, entry, digest, attempts - 1)
         else:
-            self.lost += digest == POPULAR
+            self.lost += digest == HARMLESS_REQUEST
 
-    def tell(self, now: float, source: int, to: int, action: Callable[..., None], *a: Any) -> None:
+    def send(self, now: float, source: int, to: int, action: Callable[..., None], *a: Any) -> None:
         """Send a message from one entry to another, unless it is lost or cut."""
         self.messages += 1
-        trouble = self.trouble
+        faults = self.faults
         is_far = self.members[source].hall != self.members[to].hall
-        is_cut = is_far and trouble.cut_s[0] <= now < trouble.cut_s[1]
-        if not is_cut and self.random.random() >= trouble.loss:
-            self.at(now + self.random.uniform(0.0, 2 * trouble.delay_s), action, to, *a)
+        is_cut = is_far and faults.cut_s[0] <= now < faults.cut_s[1]
+        if not is_cut and self.random.random() >= faults.loss:
+            self.schedule(now + self.random.uniform(0.0, 2 * faults.delay_s), action, to, *a)
 
-    def is_store_away(self, now: float) -> bool:
+    def is_store_down(self, now: float) -> bool:
         """Check whether the store is down at a time."""
-        return self.trouble.away_s[0] <= now < self.trouble.away_s[1]
+        return self.faults.away_s[0] <= now < self.faults.away_s[1]
 
-    def count_late(self) -> int:
+    def count_late_sends(self) -> int:
         """Count requests sent later than `CONTACT_S` after the third crash.
 
         Requests shortly after a restart or during a store outage are left out.
         """
-        if len(self.ended) < 3:
+        if len(self.crash_times) < 3:
             return 0
-        since = self.ended[2] + CONTACT_S
-        trouble = self.trouble
+        since = self.crash_times[2] + CONTACT_S
+        faults = self.faults
         return sum(
             when > since
-            and not trouble.restart_s <= when < trouble.restart_s + CONTACT_S
-            and not trouble.away_s[0] <= when < trouble.away_s[1] + CONTACT_S
+            and not faults.restart_s <= when < faults.restart_s + CONTACT_S
+            and not faults.away_s[0] <= when < faults.away_s[1] + CONTACT_S
             for when in self.sent
         )
 
 
-class CountingWay(ABC):
+class CrashCounting(ABC):
     """A strategy for counting a request's crashes over all entries."""
 
     run: Run
@@ -243,12 +247,12 @@
         """Restart every entry, which loses its state."""
         self.start(self.run)
 
-    def note_answer(self, now: float, entry: int, digest: str) -> None:
+    def record_answer(self, now: float, entry: int, digest: str) -> None:
         """Record that an entry received an answer to a request."""
         return
 
     @abstractmethod
-    def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
+    def record_crash(self, now: float, entry: int, digest: str, target: str) -> None:
         """Record that an entry saw a target crash under a request."""
 
     @abstractmethod
--- a/halldoor/standins/crashways.py
+++ b/halldoor/standins/crashways.py
@@ -10,7 +10,7 @@
 from halldoor.core.quarantine.quarantine import Audience, Message, Quarantine
 from halldoor.core.quarantine.record import EvidenceRecord, from_record, to_record
 from halldoor.core.quarantine.settings import QuarantineSettings
-from halldoor.standins.crashfleet import CountingWay, Run
+from halldoor.standins.crashfleet import CrashCounting, Run
 
 SETTINGS = QuarantineSettings()
 CALLER = "c"
@@ -20,10 +20,10 @@
 """Duration of a call to the store, in seconds."""
 
 
-class NoSum(CountingWay):
+class NoCounting(CrashCounting):
     """Entries count no crashes and block no requests."""
 
-    def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
+    def record_crash(self, now: float, entry: int, digest: str, target: str) -> None:
         """Ignore the crash."""
         return
 
@@ -32,48 +32,50 @@
         return False
 
 
-class OwnSum(CountingWay):
+class LocalCounting(CrashCounting):
     """Each entry counts only the crashes that it saw itself."""
 
     def start(self, run: Run) -> None:
         """Start without any counted crash."""
         super().start(run)
-        self.cases: list[dict[str, CrashHistory]] = [{} for _ in range(run.fleet.entries)]
+        self.histories: list[dict[str, CrashHistory]] = [{} for _ in range(run.fleet.entries)]
 
-    def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
+    def record_crash(self, now: float, entry: int, digest: str, target: str) -> None:
         """Count the crash at this entry."""
-        self.cases[entry].setdefault(digest, CrashHistory(digest)).add_crash(target, CALLER, now)
+        self.histories[entry].setdefault(digest, CrashHistory(digest)).add_crash(
+            target, CALLER, now
+        )
 
-    def note_answer(self, now: float, entry: int, digest: str) -> None:
+    def record_answer(self, now: float, entry: int, digest: str) -> None:
         """Clear the earlier crashes of the request, since a target answered it."""
-        case = self.cases[entry].get(digest)
-        if case is not None:
-            case.record_answer(now)
+        history = self.histories[entry].get(digest)
+        if history is not None:
+            history.record_answer(now)
 
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
         """Check whether the crashes counted at this entry block the request."""
-        case = self.cases[entry].get(digest)
-        return case is not None and case.is_blocked(SETTINGS)
+        history = self.histories[entry].get(digest)
+        return history is not None and history.is_blocked(SETTINGS)
 
 
-class TellAll(OwnSum):
+class BroadcastCounting(LocalCounting):
     """Each entry sends every crash to all others; nothing is stored."""
 
-    def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
+    def record_crash(self, now: float, entry: int, digest: str, target: str) -> None:
         """Count the crash, and send the evidence to all other entries."""
-        super().note_end(now, entry, digest, target)
-        evidence = self.cases[entry][digest].build_evidence(now)
+        super().record_crash(now, entry, digest, target)
+        evidence = self.histories[entry][digest].build_evidence(now)
         for other in range(self.run.fleet.entries):
             if other != entry:
-                self.run.tell(now, entry, other, self._hear, evidence)
+                self.run.send(now, entry, other, self._receive, evidence)
 
-    def _hear(self, now: float, entry: int, evidence: Evidence) -> None:
+    def _receive(self, now: float, entry: int, evidence: Evidence) -> None:
         """Merge evidence from another entry."""
-        case = self.cases[entry].setdefault(evidence.digest, CrashHistory(evidence.digest))
-        case.merge(evidence, now)
+        history = self.histories[entry].setdefault(evidence.digest, CrashHistory(evidence.digest))
+        history.merge(evidence, now)
 
 
-class StoreSum(OwnSum):
+class StoreCounting(LocalCounting):
     """Each crash is added to a record in the store, which all entries watch."""
 
     def start(self, run: Run) -> None:
@@ -86,37 +88,37 @@
         records = self.records
         self.start(self.run)
         self.records = records
-        for digest, case in records.items():
-            for cases in self.cases:
-                cases[digest] = CrashHistory(digest)
-                cases[digest].merge(case.build_evidence(now), now)
+        for digest, history in records.items():
+            for histories in self.histories:
+                histories[digest] = CrashHistory(digest)
+                histories[digest].merge(history.build_evidence(now), now)
 
-    def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
+    def record_crash(self, now: float, entry: int, digest: str, target: str) -> None:
         """Count the crash, and add it to the record in the store."""
-        super().note_end(now, entry, digest, target)
+        super().record_crash(now, entry, digest, target)
         self._write(now, digest, target)
 
     def _write(self, now: float, digest: str, target: str) -> None:
         """Add a crash to the record with one read and one write; retry while the store is down."""
         self.run.store_calls += 2
-        if self.run.is_store_away(now):
-            self.run.at(now + 0.5, self._write, digest, target)
+        if self.run.is_store_down(now):
+            self.run.schedule(now + 0.5, self._write, digest, target)
             return
         record = self.records.setdefault(digest, CrashHistory(digest))
         if record.add_crash(target, CALLER, now):
             evidence = record.build_evidence(now)
             for other in range(self.run.fleet.entries):
-                heard_at = now + STORE_S + self.run.random.uniform(*WATCH_S)
-                self.run.at(heard_at, self._hear, other, evidence)
+                received_at = now + STORE_S + self.run.random.uniform(*WATCH_S)
+                self.run.schedule(received_at, self._receive, other, evidence)
 
-    def _hear(self, now: float, entry: int, evidence: Evidence) -> None:
+    def _receive(self, now: float, entry: int, evidence: Evidence) -> None:
         """Merge a record read from the store."""
-        self.cases[entry].setdefault(evidence.digest, CrashHistory(evidence.digest)).merge(
+        self.histories[entry].setdefault(evidence.digest, CrashHistory(evidence.digest)).merge(
             evidence, now
         )
 
 
-class Collectors(CountingWay):
+class Collectors(CrashCounting):
     """The product's quarantine without the store: collectors count and notify all entries."""
 
     def start(self, run: Run) -> None:
@@ -124,7 +126,7 @@
         super().start(run)
         self._by_name = {m.name: i for i, m in enumerate(run.members)}
         self._collectors: dict[tuple[str, str], list[str]] = {}
-        self._parts = [
+        self._quarantines = [
             Quarantine(m.name, SETTINGS, partial(self._find_collectors, m.hall))
             for m in run.members
         ]
@@ -135,33 +137,33 @@
             self._collectors[hall, digest] = choose_collectors(digest, hall, self.run.members)
         return self._collectors[hall, digest]
 
-    def note_end(self, now: float, entry: int, digest: str, target: str) -> None:
+    def record_crash(self, now: float, entry: int, digest: str, target: str) -> None:
         """Record the crash in the entry's quarantine."""
-        self._parts[entry].record_crash(Identity(digest, CALLER), target, now)
-        self._poll(now, entry, self._parts[entry])
+        self._quarantines[entry].record_crash(Identity(digest, CALLER), target, now)
+        self._poll(now, entry, self._quarantines[entry])
 
-    def note_answer(self, now: float, entry: int, digest: str) -> None:
+    def record_answer(self, now: float, entry: int, digest: str) -> None:
         """Record the answer in the entry's quarantine."""
-        self._parts[entry].record_answer(digest, now)
-        self._poll(now, entry, self._parts[entry])
+        self._quarantines[entry].record_answer(digest, now)
+        self._poll(now, entry, self._quarantines[entry])
 
     def is_blocked(self, now: float, entry: int, digest: str) -> bool:
         """Check whether the entry's quarantine blocks the request."""
-        return self._parts[entry].find_block(Identity(digest, CALLER), now) is not None
+        return self._quarantines[entry].find_block(Identity(digest, CALLER), now) is not None
 
-    def _poll(self, now: float, entry: int, part: Quarantine) -> None:
+    def _poll(self, now: float, entry: int, quarantine: Quarantine) -> None:
         """Send due messages, write due records, and schedule the next poll."""
-        if part is not self._parts[entry]:
+        if quarantine is not self._quarantines[entry]:
             return  # The entry has restarted since this poll was scheduled.
-        for message in part.pop_messages(now):
+        for message in quarantine.pop_messages(now):
             is_for_all = isinstance(message.to, Audience)
             for other in self._list_recipients(entry, message):
-                self.run.tell(now, entry, other, self._hear, message.evidence, is_for_all)
-        while (evidence := part.pop_due_record(now)) is not None:
-            self._record(now, part, evidence)
-        due_at = part.find_due()
+                self.run.send(now, entry, other, self._receive, message.evidence, is_for_all)
+        while (evidence := quarantine.pop_due_record(now)) is not None:
+            self._record(now, quarantine, evidence)
+        due_at = quarantine.find_due()
         if due_at is not None:
-            self.run.at(max(now + 0.001, due_at), self._poll, entry, part)
+            self.run.schedule(max(now + 0.001, due_at), self._poll, entry, quarantine)
 
     def _list_recipients(self, entry: int, message: Message) -> list[int]:
         """List the entries that a message goes to."""
@@ -173,14 +175,14 @@
             return others
         return [i for i in others if members[i].hall == members[entry].hall]
 
-    def _hear(self, now: float, entry: int, evidence: Evidence, is_for_all: bool) -> None:
+    def _receive(self, now: float, entry: int, evidence: Evidence, is_for_all: bool) -> None:
         """Merge the evidence of a message into the entry's quarantine."""
-        self._parts[entry].merge_evidence(evidence, now, is_broadcast=is_for_all)
-        self._poll(now, entry, self._parts[entry])
+        self._quarantines[entry].merge_evidence(evidence, now, is_broadcast=is_for_all)
+        self._poll(now, entry, self._quarantines[entry])
 
-    def _record(self, now: float, part: Quarantine, evidence: Evidence) -> None:
+    def _record(self, now: float, quarantine: Quarantine, evidence: Evidence) -> None:
         """Confirm the record without writing it, since there is no store."""
-        part.confirm_record(evidence)
+        quarantine.confirm_record(evidence)
 
 
 class CollectorsAndRecord(Collectors):
@@ -198,22 +200,22 @@
         self._records = records
         for record in records.values():
             for entry in range(self.run.fleet.entries):
-                self._watch(now, entry, record)
+                self._receive_record(now, entry, record)
 
-    def _record(self, now: float, part: Quarantine, evidence: Evidence) -> None:
+    def _record(self, now: float, quarantine: Quarantine, evidence: Evidence) -> None:
         """Write a record, at the cost of one call for the lease and one for the record."""
         self.run.store_calls += 2
-        if self.run.is_store_away(now):
-            part.retry_record(evidence.digest, now + 0.5)
+        if self.run.is_store_down(now):
+            quarantine.retry_record(evidence.digest, now + 0.5)
             return
-        part.confirm_record(evidence)
+        quarantine.confirm_record(evidence)
         record = to_record(evidence, round(now * 1000))
         self._records[evidence.digest] = record
         for entry in range(self.run.fleet.entries):
-            heard_at = now + STORE_S + self.run.random.uniform(*WATCH_S)
-            self.run.at(heard_at, self._watch, entry, record)
+            received_at = now + STORE_S + self.run.random.uniform(*WATCH_S)
+            self.run.schedule(received_at, self._receive_record, entry, record)
 
-    def _watch(self, now: float, entry: int, record: EvidenceRecord) -> None:
+    def _receive_record(self, now: float, entry: int, record: EvidenceRecord) -> None:
         """Merge a record from the store into the entry's quarantine."""
-        self._parts[entry].merge_record(from_record(record, round(now * 1000)), now)
-        self._poll(now, entry, self._parts[entry])
+        self._quarantines[entry].merge_record(from_record(record, round(now * 1000)), now)
+        self._poll(now, entry, self._quarantines[entry])
--- a/halldoor/standins/demo.py
+++ b/halldoor/standins/demo.py
@@ -33,8 +33,8 @@
     fleet.start_admin()
     configuration = make_configuration(halls={"a1": 2, "b1": 2})
     path = fleet.write_configuration(configuration)
-    print(_check(fleet.run_cli("validate", str(path))))
-    print(_check(fleet.run_cli("apply", str(path))).splitlines()[0])
+    print(_get_output(fleet.run_cli("validate", str(path))))
+    print(_get_output(fleet.run_cli("apply", str(path))).splitlines()[0])
     fleet.start_targets("targets", [t["address"]["port"] for t in configuration["targets"]])
     names = [e["name"] for h in configuration["halls"] for e in h["entries"]]
     for name in names:
@@ -43,7 +43,7 @@
     print(f"Entries up: {', '.join(names)}.")
 
 
-def _check(done: Any) -> str:
+def _get_output(done: Any) -> str:
     """Return a command's output; exit with its error if it failed."""
     if done.returncode:
         raise SystemExit(f"Command failed with {done.returncode}: {done.stderr}")
@@ -73,10 +73,10 @@
         body=b"assign deck 5 to class 2",
         headers={"Halldoor-Ticket": ticket},
     )
-    again = fleet.call(
+    repeated = fleet.call(
         "a1-e2", "/s/decks/order", method="POST", body=b"x", headers={"Halldoor-Ticket": ticket}
     )
-    assert order.data == again.data, "a repeated order must return the first answer"
+    assert order.data == repeated.data, "a repeated order must return the first answer"
     body = bytes(range(256)) * 40_000
     upload = fleet.call("a1-e1", "/s/decks/upload", method="PUT", body=body)
     assert json.loads(upload.data)["sha256"] == sha256(body).hexdigest(), "a wrong body arrived"
@@ -89,7 +89,7 @@
     assert runs == 1, f"the order ran {runs} times"
     print("Read, order (sent twice, ran once) and a 10 MB upload served across halls.")
     for response in (read, order, upload):
-        print(_check(fleet.run_cli("explain", response.headers["Halldoor-Decision"])))
+        print(_get_output(fleet.run_cli("explain", response.headers["Halldoor-Decision"])))
         print()
     for target in ("a1-t1", "a1-t2"):
         fleet.control(target, leaving=False)
@@ -112,7 +112,7 @@
     for thread in threads:
         thread.start()
     time.sleep(0.5)
-    print(_check(fleet.run_cli("drain", "b1-t1")).splitlines()[0])
+    print(_get_output(fleet.run_cli("drain", "b1-t1")).splitlines()[0])
     time.sleep(1.5)
     before = fleet.get_json("b1-t1", "/stats")["outcomes"].get("answered", 0)
     for thread in threads:
@@ -125,7 +125,7 @@
 
 def _print_status(fleet: Fleet) -> None:
     """Print the status, and stop an entry gracefully."""
-    print(_check(fleet.run_cli("status")))
+    print(_get_output(fleet.run_cli("status")))
     took_s = fleet.stop("a1-e2")
     print(f"Stopped entry a1-e2 in the planned way in {took_s:.1f} s.")
 
--- a/halldoor/standins/fleet.py
+++ b/halldoor/standins/fleet.py
@@ -33,7 +33,7 @@
 TOKEN = "fleet-operator-token"
 
 
-def wait_until(holds: Callable[[], bool], *, what: str, limit_s: float = 20.0) -> float:
+def wait_until(condition: Callable[[], bool], *, what: str, limit_s: float = 20.0) -> float:
     """Wait until a condition holds, and return the seconds it took.
 
     Raises
@@ -43,7 +43,7 @@
     """
     started = time.monotonic()
     while time.monotonic() - started < limit_s:
-        if holds():
+        if condition():
             return time.monotonic() - started
         time.sleep(0.02)
     raise TimeoutError(f"{what}: not within {limit_s} s")
@@ -63,13 +63,13 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.http = urllib3.PoolManager(num_pools=200, maxsize=16, retries=False, timeout=15.0)
         self.platform_port = find_ports(1)[0]
-        self.shown_platform_port = 0
+        self.relayed_platform_port = 0
         self.admin_port = 0
         self.settings: dict[str, Path] = {}
         self.relays: Relays | None = None
         # Pairs of address prefixes cut off from each other, such as 127.0.1. and 127.0.2.
         self.cuts: set[tuple[str, str]] = set()
-        self._hidden: dict[str, dict[str, Any]] = {}
+        self._relay_settings: dict[str, dict[str, Any]] = {}
         self.configuration: dict[str, Any] = {}
 
     @classmethod
@@ -95,9 +95,9 @@
     def start_platform(self) -> None:
         """Start the stand-in for the platform, and wait until it answers."""
         self.spawn("platform", "standin", "platform", "--port", str(self.platform_port), "--ip", IP)
-        wait_until(self._platform_answers, what="platform")
+        wait_until(self._is_platform_ready, what="platform")
 
-    def _platform_answers(self) -> bool:
+    def _is_platform_ready(self) -> bool:
         """Check whether the stand-in answers; its port is open before it serves requests."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             url = f"{self.platform_url}/stats"
@@ -136,7 +136,7 @@
             "strict_invariants": True,
             "rest_at_start": False,
             "log_format": "console",
-            **self._hidden.get(name, {}),
+            **self._relay_settings.get(name, {}),
         } | changes
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
@@ -205,17 +205,17 @@
         caller.  Call this before starting any process.
         """
         self.relays = Relays()
-        hidden = find_ports(1 + sum(len(h["entries"]) for h in configuration["halls"]))
+        relayed_ports = find_ports(1 + sum(len(h["entries"]) for h in configuration["halls"]))
         for i, hall in enumerate(configuration["halls"], 1):
             for j, entry in enumerate(hall["entries"], 1):
-                port = hidden.pop()
-                self._hidden[entry["name"]] = {
+                port = relayed_ports.pop()
+                self._relay_settings[entry["name"]] = {
                     "wire": {"ip": IP, "port": port},
                     "source_ip": f"127.0.{i}.{j}",
                 }
                 self._add_relay(entry["wire"]["port"], port, f"127.0.{i}.{j}")
-        self.shown_platform_port = hidden.pop()
-        self._add_relay(self.shown_platform_port, self.platform_port, PLATFORM)
+        self.relayed_platform_port = relayed_ports.pop()
+        self._add_relay(self.relayed_platform_port, self.platform_port, PLATFORM)
 
     def _add_relay(self, port: int, to: int, name: str) -> None:
         """Add a relay in front of a process; ``name`` is its address in cuts."""
@@ -230,11 +230,11 @@
 
         self.relays.add((IP, port), (IP, to), is_cut)
 
-    def cut(self, one: str, other: str) -> None:
+    def cut(self, first: str, second: str) -> None:
         """Cut the traffic between two address prefixes; ``127.0.0.`` is the platform's."""
-        self.cuts.add((one, other))
+        self.cuts.add((first, second))
 
-    def heal(self) -> None:
+    def end_cuts(self) -> None:
         """End all cuts."""
         self.cuts.clear()
 
@@ -259,14 +259,14 @@
 
     def run_cli(self, *arguments: str, token: str = TOKEN) -> subprocess.CompletedProcess[str]:
         """Run the operator's command line."""
-        known = {
+        environment = {
             **os.environ,
             "HALLDOOR_API": f"http://{IP}:{self.admin_port}",
             "HALLDOOR_TOKEN": token,
         }
         return subprocess.run(
             [sys.executable, "-m", "halldoor.cli.operator", *arguments],
-            env=known,
+            env=environment,
             capture_output=True,
             text=True,
             check=False,
@@ -283,7 +283,7 @@
     @property
     def platform_url(self) -> str:
         """URL of the platform's stand-in, through its relay if relays are used."""
-        port = self.shown_platform_port if self.relays is not None else self.platform_port
+        port = self.relayed_platform_port if self.relays is not None else self.platform_port
         return f"http://{IP}:{port}"
 
     def can_connect(self, port: int) -> bool:
--- a/halldoor/standins/leavingways.py
+++ b/halldoor/standins/leavingways.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from halldoor.standins.ratefleet import RateWay, Run, list_receivers
+from halldoor.standins.ratefleet import RateStrategy, Run, list_receivers
 
 LEAVES_S = 4.0
 """Time from which the target states that it is leaving, in seconds from the start of a run."""
@@ -18,27 +18,27 @@
 """Number of messages in which an entry repeats a notice."""
 
 
-class OwnAnswers(RateWay):
+class OwnAnswers(RateStrategy):
     """Each entry relies on the answers to its own requests."""
 
     def restart(self, now: float) -> None:
         """Reset the state of all entries."""
-        self._has_heard = [False] * len(self.run.names)
-        self._has_read = [False] * len(self.run.names)
+        self._is_notified = [False] * len(self.run.names)
+        self._has_seen_answer = [False] * len(self.run.names)
 
-    def take(self, now: float, entry: int) -> bool:
+    def admit(self, now: float, entry: int) -> bool:
         """Send a request unless the entry knows that the target is leaving."""
-        if self._has_heard[entry] or self._has_read[entry]:
+        if self._is_notified[entry] or self._has_seen_answer[entry]:
             return False
         if now >= LEAVES_S:
-            self.run.at(now + ANSWER_S, self._read, entry)
+            self.run.schedule(now + ANSWER_S, self._receive_answer, entry)
         return True
 
-    def _read(self, now: float, entry: int) -> None:
+    def _receive_answer(self, now: float, entry: int) -> None:
         """Receive an answer which states that the target is leaving."""
-        is_news = not (self._has_heard[entry] or self._has_read[entry])
-        self._has_read[entry] = True
-        if is_news:
+        is_new = not (self._is_notified[entry] or self._has_seen_answer[entry])
+        self._has_seen_answer[entry] = True
+        if is_new:
             self.notify(now, entry)
 
     def notify(self, now: float, entry: int) -> None:
@@ -59,18 +59,18 @@
         """Schedule the notice and its repeats to the entry's receivers."""
         first = self.run.random.uniform(0.0, PERIOD_S)
         for repeat in range(REPEATS):
-            self.run.at(now + first + repeat * PERIOD_S, self._send, entry)
+            self.run.schedule(now + first + repeat * PERIOD_S, self._send_notices, entry)
 
-    def _send(self, now: float, entry: int) -> None:
+    def _send_notices(self, now: float, entry: int) -> None:
         """Send one notice to each receiver."""
         for to in self._receivers[entry]:
-            self.run.send(now, entry, to, self._hear)
+            self.run.send(now, entry, to, self._receive_notice)
 
-    def _hear(self, now: float, entry: int) -> None:
+    def _receive_notice(self, now: float, entry: int) -> None:
         """Receive a notice, and forward it if it is new and forwarding is on."""
-        is_news = not (self._has_heard[entry] or self._has_read[entry])
-        self._has_heard[entry] = True
-        if is_news and self.forwards:
+        is_new = not (self._is_notified[entry] or self._has_seen_answer[entry])
+        self._is_notified[entry] = True
+        if is_new and self.forwards:
             self.notify(now, entry)
 
 
--- a/halldoor/standins/memorystore.py
+++ b/halldoor/standins/memorystore.py
@@ -48,9 +48,9 @@
         Number of calls so far, and number of range pages that were read.
     is_slow : bool
         Reads of ranges wait until this is false again.
-    is_deaf : bool
+    is_withholding_changes : bool
         Watches receive no changes.
-    copies : int
+    restore_count : int
         Number of times that the store was restored from a copy.
     """
 
@@ -65,12 +65,12 @@
         self._has_expiry = has_expiry
         self._ttls: dict[str, float] = {}
         self._expiries: dict[str, asyncio.TimerHandle] = {}
-        self.copies = 0
+        self.restore_count = 0
         self._changed = asyncio.Event()
         self.is_down = False
         self.is_slow = False
-        self.is_deaf = False
-        self._cuts = 0
+        self.is_withholding_changes = False
+        self._watch_cuts = 0
         self.calls = 0
         self.ranges = 0
 
@@ -91,7 +91,7 @@
 
     def open_gap(self) -> None:
         """Withhold changes from watches until `close_gap` is called."""
-        self.is_deaf = True
+        self.is_withholding_changes = True
 
     def close_gap(self, *, forget_after_s: float = 0.0) -> None:
         """Fail all watches, and drop the history with the withheld changes.
@@ -102,16 +102,16 @@
             Time between the two, in seconds.  A watch that starts in between receives nothing until
             the next change.
         """
-        self._cuts += 1
-        self._wake()
+        self._watch_cuts += 1
+        self._wake_watches()
         if forget_after_s:
-            asyncio.get_running_loop().call_later(forget_after_s, self._end_gap)
+            asyncio.get_running_loop().call_later(forget_after_s, self._finish_gap)
         else:
-            self._end_gap()
+            self._finish_gap()
 
-    def _end_gap(self) -> None:
+    def _finish_gap(self) -> None:
         """Drop the history, and deliver later changes to watches again."""
-        self.is_deaf = False
+        self.is_withholding_changes = False
         self.forget_history()
 
     def copy(self) -> StoreCopy:
@@ -128,14 +128,14 @@
         self._revision = copy.revision
         self._leases = {name: set(keys) for name, keys in copy.leases.items()}
         self._next_lease = copy.next_lease
-        self.copies += 1
-        self.era = str(self.copies)
-        self._wake()
+        self.restore_count += 1
+        self.era = str(self.restore_count)
+        self._wake_watches()
 
-    def cut(self) -> None:
+    def take_down(self) -> None:
         """Take the store down: calls and waiting watches fail."""
         self.is_down = True
-        self._wake()
+        self._wake_watches()
 
     def list_keys(self, prefix: str) -> list[str]:
         """List the keys with a prefix."""
@@ -145,14 +145,14 @@
         """Add a change to the history."""
         self._revision += 1
         self._history.append((self._revision, item))
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         """Wake every waiting watch so that it checks for changes and faults."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _call(self) -> None:
+    def _count_call(self) -> None:
         """Count a call, and fail it while the store is down."""
         self.calls += 1
         if self.is_down:
@@ -160,7 +160,7 @@
 
     async def read_range(self, prefix: str, *, after: str = "") -> Page:
         """Return one page of the keys with a prefix."""
-        self._call()
+        self._count_call()
         while self.is_slow:
             await asyncio.sleep(0.01)
         self.ranges += 1
@@ -170,32 +170,34 @@
 
     async def watch(self, prefix: str, *, after: int, wait_s: float) -> Events:
         """Wait for changes after a revision, for ``wait_s`` seconds at most."""
-        self._call()
+        self._count_call()
         if after > self._revision:
             raise HistoryGoneError("There is no such revision.", remedy="Read all again.")
-        cuts = self._cuts
+        cuts = self._watch_cuts
         try:
             async with asyncio.timeout(wait_s):
-                while (self.is_deaf or self._revision <= after) and self._is_kept(cuts):
+                while (
+                    self.is_withholding_changes or self._revision <= after
+                ) and self._is_watch_active(cuts):
                     await self._changed.wait()
         except TimeoutError:
             return Events([], after)
         if self.is_down:
             raise StoreError("The store is down.", remedy="Start it.")
-        if cuts != self._cuts:
+        if cuts != self._watch_cuts:
             raise StoreError("The watch was cut.", remedy="Watch again.")
         if after < self._first_revision:
             raise HistoryGoneError("The history is gone.", remedy="Read all again.")
         items = [i for r, i in self._history if r > after and i.key.startswith(prefix)]
         return Events(items, self._revision)
 
-    def _is_kept(self, cuts: int) -> bool:
+    def _is_watch_active(self, cuts: int) -> bool:
         """Check whether a watch is still open; ``cuts`` is the number of cuts at its start."""
-        return not self.is_down and cuts == self._cuts
+        return not self.is_down and cuts == self._watch_cuts
 
     async def write(self, key: str, value: bytes, *, lease: str) -> None:
         """Write a key under a lease."""
-        self._call()
+        self._count_call()
         if lease not in self._leases:
             raise LeaseGoneError("No such lease.", remedy="Create another.")
         for keys in self._leases.values():
@@ -206,43 +208,43 @@
     async def claim(self, key: str, *, lease: str) -> bool:
         """Write a key under a lease unless the key exists; return whether it was written."""
         if key in self._values:
-            self._call()
+            self._count_call()
             return False
         await self.write(key, b"", lease=lease)
         return True
 
     async def create_lease(self, ttl_s: float) -> Lease:
         """Create a lease."""
-        self._call()
+        self._count_call()
         name = str(self._next_lease)
         self._next_lease += 1
         self._leases[name] = set()
         self._ttls[name] = ttl_s
-        self._expect_renewal(name)
+        self._schedule_expiry(name)
         return Lease(name, ttl_s)
 
     async def renew_lease(self, lease: str) -> None:
         """Renew a lease."""
-        self._call()
+        self._count_call()
         if lease not in self._leases:
             raise LeaseGoneError("No such lease.", remedy="Create another.")
-        self._expect_renewal(lease)
+        self._schedule_expiry(lease)
 
-    def _expect_renewal(self, lease: str) -> None:
+    def _schedule_expiry(self, lease: str) -> None:
         """Schedule the expiry of a lease, in place of an earlier schedule."""
         if not self._has_expiry:
             return
         if lease in self._expiries:
             self._expiries[lease].cancel()
         loop = asyncio.get_running_loop()
-        self._expiries[lease] = loop.call_later(self._ttls[lease], self.lapse, lease)
+        self._expiries[lease] = loop.call_later(self._ttls[lease], self.expire_lease, lease)
 
     async def end_lease(self, lease: str) -> None:
         """End a lease."""
-        self._call()
-        self.lapse(lease)
+        self._count_call()
+        self.expire_lease(lease)
 
-    def lapse(self, lease: str) -> None:
+    def expire_lease(self, lease: str) -> None:
         """Expire a lease, and remove its keys."""
         if lease in self._expiries:
             self._expiries.pop(lease).cancel()
--- a/halldoor/standins/modelentry.py
+++ b/halldoor/standins/modelentry.py
@@ -23,7 +23,7 @@
 from halldoor.gateway.relay import ChangeFeed
 from halldoor.gateway.storenotices import StoreNoticeExchange
 from halldoor.gateway.sync import StoreSync
-from halldoor.standins.modelnetwork import Node, Place, start_on
+from halldoor.standins.modelnetwork import Location, Node, start_task_on
 from halldoor.standins.storelink import StoreLink
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
 """Number of an entry's latest log lines that are kept."""
 
 
-class NoLog:
+class CountingLog:
     """An event log that counts events by text and keeps the latest lines."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self.lines.append((part, text, fields))
 
 
-class _Caller:
+class _CallerStub:
     """Stand-in for `CallerConnection` that keeps the answer to a poll."""
 
     def __init__(self) -> None:
@@ -85,20 +85,20 @@
     async def _call(self, method: str, target: str) -> HttpAnswer:
         """Send the call to the other entry, if it is up, and wait for its answer."""
         node = self._fleet.nodes[self._address.port]
-        own = self._own if self._own is not None else Node(node.place)
-        await self._fleet.network.travel(own, node)
+        own = self._own if self._own is not None else Node(node.location)
+        await self._fleet.network.transmit(own, node)
         entry = self._fleet.entries.get(self._address.port)
         if entry is None or not entry.tasks:
             raise HttpCallError("connection refused")
-        caller = _Caller()
+        caller = _CallerStub()
         head = Head(method.encode(), target.encode(), [], asyncio.get_running_loop().time())
         answering = entry.serve(entry.feed.answer(cast(CallerConnection, caller), head))
         await asyncio.wait([answering])
         if answering.cancelled():
             raise HttpCallError("connection reset")
         answering.result()
-        self._fleet.handed_bytes += len(caller.answer.body)
-        await self._fleet.network.travel(node, own)
+        self._fleet.answer_bytes += len(caller.answer.body)
+        await self._fleet.network.transmit(node, own)
         return HttpAnswer(caller.answer.status, caller.answer.body)
 
     def close(self) -> None:
@@ -117,7 +117,7 @@
         fleet, own = self._fleet, self._own.front
         if address[1] in fleet.nodes:
             sender, receiver = fleet.nodes[own.port], fleet.nodes[address[1]]
-            fleet.network.post(
+            fleet.network.send_datagram(
                 sender, receiver, lambda: fleet.deliver(data, own, to_port=address[1])
             )
 
@@ -125,7 +125,7 @@
         """Close the port."""
 
 
-class Part(Protocol):
+class Component(Protocol):
     """A component of an entry that runs as a task."""
 
     def run(self) -> Coroutine[Any, Any, None]:
@@ -139,14 +139,14 @@
     ----------
     port, sender : DatagramPort, NoticeSender
         Port for messages from and to other entries, and the sender of notices.
-    exchanges : list of Part
+    exchanges : list of Component
         Components that run beside the synchronization, registration and maintenance.
     """
 
     def __init__(self, fleet: StoreFleet, member: MemberRecord) -> None:
-        self.node = fleet.nodes[member.front.port] = Node(Place(member.hall, member.region))
+        self.node = fleet.nodes[member.front.port] = Node(Location(member.hall, member.region))
         self.link = StoreLink(fleet.server, self.node)
-        self.events = NoLog()
+        self.events = CountingLog()
         log = cast(EventLog, self.events)
         self.catalog = Catalog(CatalogTimings(young_s=0.0))
         codec, metrics = PlainCodec(), GatewayMetrics()
@@ -169,7 +169,7 @@
             self.catalog,
             log=log,
             metrics=metrics,
-            on_change=self._note_change,
+            on_change=self._handle_change,
             feed=self.feed,
         )
         self.name = member.name
@@ -186,7 +186,7 @@
         self.maintenance = Maintenance(
             self.catalog,
             TargetPool(),
-            on_change=self._note_change,
+            on_change=self._handle_change,
             on_suspension=lambda: self.sync.invalidate("the process stood still"),
             log=log,
         )
@@ -201,23 +201,28 @@
             metrics=metrics,
         )
         self.sync.on_update.append(notices.queue_notices)
-        self.exchanges: list[Part] = [notices]
+        self.exchanges: list[Component] = [notices]
         self.tasks: list[asyncio.Task[None]] = []
         self._serving: set[asyncio.Task[None]] = set()
 
-    def _note_change(self, change: Change) -> None:
+    def _handle_change(self, change: Change) -> None:
         """Write the entry's own record again if it was removed from the store."""
         if isinstance(change, MemberRemoved) and change.name == self.name:
             self.registration.rewrite_record()
 
     def start(self) -> None:
         """Start the tasks."""
-        parts: list[Part] = [self.sync, self.registration, self.maintenance, *self.exchanges]
-        self.tasks = [start_on(self.node, part.run()) for part in parts]
+        components: list[Component] = [
+            self.sync,
+            self.registration,
+            self.maintenance,
+            *self.exchanges,
+        ]
+        self.tasks = [start_task_on(self.node, component.run()) for component in components]
 
     def serve(self, answering: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Start a task on this entry's node that answers a call of another entry."""
-        task = start_on(self.node, answering)
+        task = start_task_on(self.node, answering)
         self._serving.add(task)
         task.add_done_callback(self._serving.discard)
         return task
--- a/halldoor/standins/modelnetwork.py
+++ b/halldoor/standins/modelnetwork.py
@@ -13,11 +13,11 @@
 RETRANSMISSION_S = 0.2
 """Time until a lost segment of a call is retransmitted, in seconds; it doubles each time."""
 
-ATTEMPTS_MOST = 8
+MAX_RETRANSMISSIONS = 8
 """Most times that a lost segment of a call is retransmitted."""
 
 
-class Place(NamedTuple):
+class Location(NamedTuple):
     """Hall and region of a node."""
 
     hall: str
@@ -31,7 +31,7 @@
     region_s: float = 0.004
     far_s: float = 0.004
 
-    def find(self, a: Place, b: Place) -> float:
+    def find(self, a: Location, b: Location) -> float:
         """Return the one-way delay between two locations, in seconds."""
         if a.region != b.region:
             return self.far_s
@@ -51,8 +51,8 @@
         No message from or to it arrives.
     """
 
-    def __init__(self, place: Place) -> None:
-        self.place = place
+    def __init__(self, location: Location) -> None:
+        self.location = location
         self.slow_s = 0.0
         self.loss = 0.0
         self.is_isolated = False
@@ -105,10 +105,10 @@
         self._delays = delays
         self._random = random
 
-    async def travel(self, sender: Node, receiver: Node) -> None:
+    async def transmit(self, sender: Node, receiver: Node) -> None:
         """Transmit a segment of a call over a connection; lost segments are retransmitted."""
-        delay_s = self._delays.find(sender.place, receiver.place)
-        for attempt in range(ATTEMPTS_MOST):
+        delay_s = self._delays.find(sender.location, receiver.location)
+        for attempt in range(MAX_RETRANSMISSIONS):
             if not self._is_lost(sender, receiver):
                 break
             delay_s += RETRANSMISSION_S * 2**attempt
@@ -116,12 +116,12 @@
         while sender.is_isolated or receiver.is_isolated:
             await asyncio.sleep(CUT_CHECK_S)
 
-    def post(self, sender: Node, receiver: Node, receive: Callable[[], None]) -> None:
+    def send_datagram(self, sender: Node, receiver: Node, receive: Callable[[], None]) -> None:
         """Send a datagram, which may be lost."""
         is_cut = sender.is_isolated or receiver.is_isolated
         if is_cut or self._is_lost(sender, receiver):
             return
-        delay_s = self._delays.find(sender.place, receiver.place) + receiver.slow_s
+        delay_s = self._delays.find(sender.location, receiver.location) + receiver.slow_s
         asyncio.get_running_loop().call_later(delay_s, receiver.receive, receive)
 
     def _is_lost(self, sender: Node, receiver: Node) -> bool:
@@ -195,7 +195,7 @@
     return asyncio.Task(coroutine, loop=loop, context=context)
 
 
-def start_on(node: Node, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+def start_task_on(node: Node, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
     """Start a task on a node; tasks that it starts run on the same node."""
     context = contextvars.copy_context()
     context.run(_node.set, node)
--- a/halldoor/standins/patterns.py
+++ b/halldoor/standins/patterns.py
@@ -10,11 +10,11 @@
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
 
-class _Data(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class _PatternData(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Base of the classes that may be read from a YAML file."""
 
 
-class Slowdown(_Data, frozen=True, kw_only=True):
+class Slowdown(_PatternData, frozen=True, kw_only=True):
     """A period in which a share of the targets takes ``factor`` times as long for a request."""
 
     at_s: float
@@ -23,7 +23,7 @@
     factor: float
 
 
-class Evacuation(_Data, frozen=True, kw_only=True):
+class Evacuation(_PatternData, frozen=True, kw_only=True):
     """A period in which a hall's targets receive no requests; they are cold when it ends.
 
     Attributes
@@ -43,7 +43,7 @@
         return self.at_s + self.for_s
 
 
-class Burst(_Data, frozen=True, kw_only=True):
+class Burst(_PatternData, frozen=True, kw_only=True):
     """A period in which the request rate is multiplied by ``factor``."""
 
     at_s: float
@@ -51,7 +51,7 @@
     factor: float
 
 
-class HallLoad(_Data, frozen=True, kw_only=True):
+class HallLoad(_PatternData, frozen=True, kw_only=True):
     """Size and load of a hall.
 
     Attributes
@@ -66,7 +66,7 @@
     callers: Annotated[float, msgspec.Meta(ge=0)]
 
 
-class Pattern(_Data, frozen=True, kw_only=True):
+class Pattern(_PatternData, frozen=True, kw_only=True):
     """A fleet, its load and its faults.
 
     Attributes
--- a/halldoor/standins/quotafleet.py
+++ b/halldoor/standins/quotafleet.py
@@ -28,7 +28,7 @@
 """Size of a message about one team, network headers included, in bytes."""
 
 
-class Trouble(NamedTuple):
+class Faults(NamedTuple):
     """Faults of the messages and the collectors in a run.
 
     Attributes
@@ -75,18 +75,18 @@
         Number of messages that were sent.
     """
 
-    def __init__(self, entries: int, limit: TeamLimit, trouble: Trouble, *, seed: int) -> None:
+    def __init__(self, entries: int, limit: TeamLimit, faults: Faults, *, seed: int) -> None:
         self.entries = entries
         self.limit = limit
         self.random = Random(seed)
         self.asked: list[float] = []
         self.admitted: list[float] = []
         self.messages = 0
-        self._trouble = trouble
+        self._faults = faults
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._numbers = itertools.count()
 
-    def at(self, when: float, action: Callable[..., None], *args: Any) -> None:
+    def schedule(self, when: float, action: Callable[..., None], *args: Any) -> None:
         """Schedule an action at a time; the time is passed as its first argument."""
         heapq.heappush(self._events, (when, next(self._numbers), action, args))
 
@@ -100,19 +100,19 @@
         collector : int, optional
             Rank of the collector; -1 for any entry that is not cut off.
         """
-        trouble = self._trouble
+        faults = self._faults
         self.messages += 1
-        is_other_side = entry < trouble.cut_entries
-        is_other_side ^= 0 <= collector < trouble.cut_collectors
-        is_cut = is_other_side and trouble.cut_from_s <= now < trouble.cut_to_s
-        if is_cut or self.random.random() < trouble.loss:
+        is_other_side = entry < faults.cut_entries
+        is_other_side ^= 0 <= collector < faults.cut_collectors
+        is_cut = is_other_side and faults.cut_from_s <= now < faults.cut_to_s
+        if is_cut or self.random.random() < faults.loss:
             return
-        for _ in range(2 if self.random.random() < trouble.doubling else 1):
-            self.at(now + self.random.uniform(0.0, 2 * trouble.delay_s), action, entry, *args)
+        for _ in range(2 if self.random.random() < faults.doubling else 1):
+            self.schedule(now + self.random.uniform(0.0, 2 * faults.delay_s), action, entry, *args)
 
     def play(
         self,
-        way: QuotaWay,
+        strategy: QuotaStrategy,
         rate_at: Callable[[float], float],
         *,
         until_s: float = 14.0,
@@ -123,22 +123,24 @@
         ``rate_at`` returns the team's request rate a second at a time, and ``weights`` are the
         relative shares of the requests that arrive at each entry.
         """
-        way.start(self)
-        self.at(self._trouble.restart_s, way.restart)
+        strategy.start(self)
+        self.schedule(self._faults.restart_s, strategy.restart)
         now = QUIET_S
-        everyone = range(self.entries)
+        all_entries = range(self.entries)
         while now < until_s:
             now += self.random.expovariate(rate_at(now))
-            self.at(now, self._ask, way, self.random.choices(everyone, weights)[0])
+            self.schedule(
+                now, self._receive_request, strategy, self.random.choices(all_entries, weights)[0]
+            )
         while self._events and self._events[0][0] < until_s:
             when, _, action, args = heapq.heappop(self._events)
             action(when, *args)
         return self
 
-    def _ask(self, now: float, way: QuotaWay, entry: int) -> None:
+    def _receive_request(self, now: float, strategy: QuotaStrategy, entry: int) -> None:
         """Count one request at an entry, and whether the strategy admits it."""
         self.asked.append(now)
-        if way.admit(now, entry):
+        if strategy.admit(now, entry):
             self.admitted.append(now)
 
     def find_worst_window(self) -> int:
@@ -168,7 +170,7 @@
         return allowed
 
 
-class QuotaWay(ABC):
+class QuotaStrategy(ABC):
     """A strategy that enforces a team's quota over all entries."""
 
     run: Run
@@ -186,7 +188,7 @@
         """Return whether an entry admits a request."""
 
 
-class EqualParts(QuotaWay):
+class EqualShares(QuotaStrategy):
     """Each entry has an equal share of the quota, with a burst of at least one; no messages."""
 
     def start(self, run: Run) -> None:
@@ -194,14 +196,14 @@
         super().start(run)
         self._buckets = [EntryBucket(0.0) for _ in range(run.entries)]
         limit, n = run.limit, run.entries
-        self._part = TeamLimit(limit.rate_per_s / n, max(1.0, limit.burst / n))
+        self._share = TeamLimit(limit.rate_per_s / n, max(1.0, limit.burst / n))
 
     def admit(self, now: float, entry: int) -> bool:
         """Admit a request if the bucket of the entry's equal share has a token."""
-        return self._buckets[entry].take_token(self._part, now) <= 0.0
+        return self._buckets[entry].take_token(self._share, now) <= 0.0
 
 
-class DemandParts(QuotaWay):
+class DemandShares(QuotaStrategy):
     """Entries report their demand to each other; each has a share in proportion to its demand.
 
     A tenth of the quota is divided evenly, so that an entry has some of it at its first request.
@@ -213,32 +215,32 @@
         """Schedule each entry's first report."""
         super().start(run)
         self._buckets = [EntryBucket(0.0) for _ in range(run.entries)]
-        self._asked = [0.0] * run.entries
-        self._told = [0.0] * run.entries
+        self._demand = [0.0] * run.entries
+        self._reported = [0.0] * run.entries
         for entry in range(run.entries):
-            run.at(run.random.random() * find_period(run.entries), self._tell, entry)
+            run.schedule(run.random.random() * find_period(run.entries), self._report_demand, entry)
 
-    def _tell(self, now: float, entry: int) -> None:
+    def _report_demand(self, now: float, entry: int) -> None:
         """Report an entry's demand to the others through one entry that forwards it."""
-        self.run.send(now, entry, self._hear, self._asked[entry])
-        self._asked[entry] *= 0.5
-        self.run.at(now + find_period(self.run.entries), self._tell, entry)
+        self.run.send(now, entry, self._receive_demand, self._demand[entry])
+        self._demand[entry] *= 0.5
+        self.run.schedule(now + find_period(self.run.entries), self._report_demand, entry)
 
-    def _hear(self, now: float, entry: int, asked: float) -> None:
+    def _receive_demand(self, now: float, entry: int, asked: float) -> None:
         """Record an entry's reported demand."""
-        self._told[entry] = asked
+        self._reported[entry] = asked
 
     def admit(self, now: float, entry: int) -> bool:
         """Admit a request if the bucket of the entry's share by demand has a token."""
-        self._asked[entry] += 1.0
+        self._demand[entry] += 1.0
         even = self.EVEN_SHARE / self.run.entries
-        part = even + (1 - self.EVEN_SHARE) * self._told[entry] / max(1.0, sum(self._told))
+        share = even + (1 - self.EVEN_SHARE) * self._reported[entry] / max(1.0, sum(self._reported))
         limit = self.run.limit
-        own = TeamLimit(limit.rate_per_s * part, max(1.0, limit.burst * part))
+        own = TeamLimit(limit.rate_per_s * share, max(1.0, limit.burst * share))
         return self._buckets[entry].take_token(own, now) <= 0.0
 
 
-class HomeTokens(QuotaWay):
+class HomeTokens(QuotaStrategy):
     """One entry, the team's home, grants tokens ahead of need that are valid for one second."""
 
     LIFETIME_S = 1.0
@@ -248,8 +250,8 @@
         super().start(run)
         self._home = EntryBucket(0.0)
         self._tokens: list[list[float]] = [[] for _ in range(run.entries)]
-        self._is_asking = [False] * run.entries
-        self._need = [0.0] * run.entries
+        self._is_requesting = [False] * run.entries
+        self._wanted_tokens = [0.0] * run.entries
 
     def restart(self, now: float) -> None:
         """Restart the home with an empty bucket, since the tokens it granted are unknown."""
@@ -260,21 +262,21 @@
     def admit(self, now: float, entry: int) -> bool:
         """Spend a token, and request more from the home if none is left."""
         tokens = [until for until in self._tokens[entry] if until > now]
-        self._need[entry] += 1.0
+        self._wanted_tokens[entry] += 1.0
         is_admitted = bool(tokens)
         if tokens:
             tokens.pop(0)
         self._tokens[entry] = tokens
-        if len(tokens) < 1 and not self._is_asking[entry]:
-            self._is_asking[entry] = True
-            self.run.send(now, entry, self._grant, 1 + int(self._need[entry]))
-            self.run.at(now + 0.3, self._ask_again, entry)
-            self._need[entry] *= 0.5
+        if len(tokens) < 1 and not self._is_requesting[entry]:
+            self._is_requesting[entry] = True
+            self.run.send(now, entry, self._grant, 1 + int(self._wanted_tokens[entry]))
+            self.run.schedule(now + 0.3, self._allow_token_request, entry)
+            self._wanted_tokens[entry] *= 0.5
         return is_admitted
 
-    def _ask_again(self, now: float, entry: int) -> None:
+    def _allow_token_request(self, now: float, entry: int) -> None:
         """Allow another request for tokens, since the last one may be lost."""
-        self._is_asking[entry] = False
+        self._is_requesting[entry] = False
 
     def _grant(self, now: float, entry: int, wanted: int) -> None:
         """Grant up to ``wanted`` tokens from the home's bucket."""
@@ -283,11 +285,11 @@
 
     def _receive(self, now: float, entry: int, granted: int) -> None:
         """Store granted tokens with their expiry."""
-        self._is_asking[entry] = False
+        self._is_requesting[entry] = False
         self._tokens[entry] += [now + self.LIFETIME_S] * granted
 
 
-class CollectorShares(QuotaWay):
+class CollectorShares(QuotaStrategy):
     """The product's strategy: entries report counts to collectors, which answer with shares.
 
     As in the product there are several collectors.  A restart affects the first one; the answers
@@ -304,7 +306,7 @@
         self._first_answer_at = [0.0] * run.entries
         self._ledgers = [self._make_ledger(0.0) for _ in range(COLLECTORS)]
         for entry in range(run.entries):
-            run.at(run.random.random() * find_period(run.entries), self._report, entry)
+            run.schedule(run.random.random() * find_period(run.entries), self._report, entry)
 
     def _make_ledger(self, now: float) -> QuotaLedger:
         """Create the ledger of a newly started collector."""
@@ -323,25 +325,25 @@
     def _report(self, now: float, entry: int) -> None:
         """Close an entry's period, report it to all collectors, and schedule the next report."""
         report = self._gates[entry].close_period()
-        for place in range(COLLECTORS):
-            self.run.send(now, entry, self._collect, place, report, collector=place)
-        self.run.at(now + find_period(self.run.entries), self._report, entry)
+        for rank in range(COLLECTORS):
+            self.run.send(now, entry, self._receive_report, rank, report, collector=rank)
+        self.run.schedule(now + find_period(self.run.entries), self._report, entry)
 
-    def _collect(self, now: float, entry: int, place: int, report: Report) -> None:
+    def _receive_report(self, now: float, entry: int, rank: int, report: Report) -> None:
         """Add a report to a collector's ledger, and answer it with shares."""
-        entries, ledger = self.run.entries, self._ledgers[place]
+        entries, ledger = self.run.entries, self._ledgers[rank]
         ledger.add_report(report, now)
         period_s = find_period(entries)
         if ledger.is_newly_started(now, period_s=period_s):
             return
         shares = ledger.compute_shares(now, entries=entries, period_s=period_s)
         answer = Shares(report.periods[-1].number, shares)
-        self.run.send(now, entry, self._answer, place, answer, collector=place)
+        self.run.send(now, entry, self._receive_answer, rank, answer, collector=rank)
 
-    def _answer(self, now: float, entry: int, place: int, shares: Shares) -> None:
+    def _receive_answer(self, now: float, entry: int, rank: int, shares: Shares) -> None:
         """Apply a collector's answer; a later collector's only while the first one is silent."""
         handover_s = HANDOVER_PERIODS * find_period(self.run.entries)
-        if place and now - self._first_answer_at[entry] <= handover_s:
+        if rank and now - self._first_answer_at[entry] <= handover_s:
             return
-        if self._gates[entry].apply_answer(shares, now) and not place:
+        if self._gates[entry].apply_answer(shares, now) and not rank:
             self._first_answer_at[entry] = now
--- a/halldoor/standins/ratefleet.py
+++ b/halldoor/standins/ratefleet.py
@@ -66,7 +66,7 @@
         return max(1, int(self.limit_per_s * self.share_s))
 
 
-class Trouble(NamedTuple):
+class Faults(NamedTuple):
     """Faults of the store connection, the messages and the entries in a run.
 
     Attributes
@@ -108,32 +108,32 @@
     """
 
     def __init__(
-        self, entries: int, bound: Bound, trouble: Trouble, *, asked_per_s: float, seed: int
+        self, entries: int, bound: Bound, faults: Faults, *, asked_per_s: float, seed: int
     ) -> None:
         self.names = [f"e{i}" for i in range(entries)]
         self.bound = bound
-        self.trouble = trouble
+        self.faults = faults
         self.random = Random(seed)
         self.asked: list[tuple[float, int]] = []
         self.sent: list[tuple[float, int]] = []
         self.messages = 0
         self._asked_per_s = asked_per_s
-        self._cut = set(self.random.sample(range(entries), round(trouble.cut_share * entries)))
+        self._cut = set(self.random.sample(range(entries), round(faults.cut_share * entries)))
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._numbers = itertools.count()
 
-    def at(self, when: float, action: Callable[..., None], *args: Any) -> None:
+    def schedule(self, when: float, action: Callable[..., None], *args: Any) -> None:
         """Schedule an action at a time; the time is passed as its first argument."""
         heapq.heappush(self._events, (when, next(self._numbers), action, args))
 
     def is_cut(self, entry: int, now: float) -> bool:
         """Check whether an entry is cut off from the store."""
-        trouble = self.trouble
-        return entry in self._cut and trouble.cut_from_s <= now < trouble.cut_to_s
+        faults = self.faults
+        return entry in self._cut and faults.cut_from_s <= now < faults.cut_to_s
 
     def list_registered(self, entry: int, now: float) -> list[str]:
         """Return the entries that are registered in one entry's view, itself included."""
-        has_lapsed = now >= self.trouble.cut_from_s + LAPSE_S and not self.is_cut(entry, now)
+        has_lapsed = now >= self.faults.cut_from_s + LAPSE_S and not self.is_cut(entry, now)
         return [
             name
             for i, name in enumerate(self.names)
@@ -143,28 +143,30 @@
     def send(self, now: float, source: int, to: int, action: Callable[..., None], *a: Any) -> None:
         """Send a message between two entries, unless it is lost or cut."""
         self.messages += 1
-        is_cut = self.trouble.is_isolated and (self.is_cut(source, now) or self.is_cut(to, now))
-        if source != to and (is_cut or self.random.random() < self.trouble.loss):
+        is_cut = self.faults.is_isolated and (self.is_cut(source, now) or self.is_cut(to, now))
+        if source != to and (is_cut or self.random.random() < self.faults.loss):
             return
-        self.at(now + self.random.uniform(0.0, 2 * DELAY_S), action, to, *a)
+        self.schedule(now + self.random.uniform(0.0, 2 * DELAY_S), action, to, *a)
 
-    def play(self, way: RateWay, *, until_s: float = 15.0) -> Run:
+    def play(self, strategy: RateStrategy, *, until_s: float = 15.0) -> Run:
         """Run the simulation with a strategy until a time; requests arrive at random."""
-        way.start(self)
-        self.at(self.trouble.restart_s, way.restart)
+        strategy.start(self)
+        self.schedule(self.faults.restart_s, strategy.restart)
         now = 0.0
         while now < until_s:
             now += self.random.expovariate(self._asked_per_s)
-            self.at(now, self._ask, way, self.random.randrange(len(self.names)))
+            self.schedule(
+                now, self._receive_request, strategy, self.random.randrange(len(self.names))
+            )
         while self._events and self._events[0][0] < until_s:
             when, _, action, args = heapq.heappop(self._events)
             action(when, *args)
         return self
 
-    def _ask(self, now: float, way: RateWay, entry: int) -> None:
+    def _receive_request(self, now: float, strategy: RateStrategy, entry: int) -> None:
         """Count one request at an entry, and whether the strategy sends it."""
         self.asked.append((now, entry))
-        if way.take(now, entry):
+        if strategy.admit(now, entry):
             self.sent.append((now, entry))
 
     def find_worst_window(self) -> int:
@@ -176,22 +178,22 @@
             worst = max(worst, last - first + 1)
         return worst
 
-    def find_use(self, *, is_cut: bool) -> float:
+    def compute_used_share(self, *, is_cut: bool) -> float:
         """Return the share of their fair rate that the entries of one side used during the cut.
 
         The fair rate is in proportion to the number of entries, and at most their demand.
         """
-        trouble = self.trouble
-        span_s = trouble.cut_to_s - trouble.cut_from_s
-        part = len(self._cut) if is_cut else len(self.names) - len(self._cut)
-        wanted = [e for at, e in self.asked if trouble.cut_from_s <= at < trouble.cut_to_s]
-        sent = [e for at, e in self.sent if trouble.cut_from_s <= at < trouble.cut_to_s]
+        faults = self.faults
+        span_s = faults.cut_to_s - faults.cut_from_s
+        entries = len(self._cut) if is_cut else len(self.names) - len(self._cut)
+        wanted = [e for at, e in self.asked if faults.cut_from_s <= at < faults.cut_to_s]
+        sent = [e for at, e in self.sent if faults.cut_from_s <= at < faults.cut_to_s]
         count = sum((e in self._cut) == is_cut for e in wanted)
-        fair = min(count, self.bound.limit_per_s * span_s * part / len(self.names))
+        fair = min(count, self.bound.limit_per_s * span_s * entries / len(self.names))
         return sum((e in self._cut) == is_cut for e in sent) / fair if fair else 1.0
 
 
-class RateWay(ABC):
+class RateStrategy(ABC):
     """A strategy that divides a target's rate among the entries."""
 
     run: Run
@@ -206,11 +208,11 @@
         """Reset the state of all entries."""
 
     @abstractmethod
-    def take(self, now: float, entry: int) -> bool:
+    def admit(self, now: float, entry: int) -> bool:
         """Return whether an entry sends a request to the target."""
 
 
-class RankedShares(RateWay):
+class RankedShares(RateStrategy):
     """Each entry has a whole number of requests, by its rank among the registered entries.
 
     Entries with the same view of the registered entries compute the same ranks.
@@ -222,7 +224,7 @@
         self._shares = [RateShare(window_s=window_s, began_at=now) for _ in self.run.names]
         self._orders: dict[tuple[str, ...], list[str]] = {}
 
-    def take(self, now: float, entry: int) -> bool:
+    def admit(self, now: float, entry: int) -> bool:
         """Reserve a request in the entry's own share."""
         members = tuple(self.list_sharers(now, entry))
         if members not in self._orders:
@@ -251,43 +253,43 @@
         return self.run.names
 
 
-class EqualBuckets(RateWay):
+class EqualBuckets(RateStrategy):
     """Each entry has a token bucket with an equal share of the rate and a burst of one."""
 
     def restart(self, now: float) -> None:
         """Reset each bucket to a random fraction of a token."""
         self._levels = [(self.run.random.random(), now) for _ in self.run.names]
 
-    def take(self, now: float, entry: int) -> bool:
+    def admit(self, now: float, entry: int) -> bool:
         """Spend a token if the bucket has one."""
         level, at = self._levels[entry]
         rate_per_s = self.run.bound.limit_per_s / len(self.run.list_registered(entry, now))
         level = min(1.0, level + rate_per_s * (now - at))
-        is_taken = level >= 1.0
-        self._levels[entry] = (level - is_taken, now)
-        return is_taken
+        is_admitted = level >= 1.0
+        self._levels[entry] = (level - is_admitted, now)
+        return is_admitted
 
 
-class HomeGrants(RateWay):
+class HomeGrants(RateStrategy):
     """One entry, the target's home, grants single requests that are valid for one second."""
 
     LIFETIME_S = 1.0
-    ASK_S = 0.2
+    REQUEST_INTERVAL_S = 0.2
 
     def restart(self, now: float) -> None:
         """Reset all grants; those granted before are unknown."""
         self._granted = [RateShare(window_s=self.run.bound.share_s) for _ in self.run.names]
         self._tokens: list[list[float]] = [[] for _ in self.run.names]
-        self._asked_at = [-1.0] * len(self.run.names)
+        self._requested_at = [-1.0] * len(self.run.names)
 
-    def take(self, now: float, entry: int) -> bool:
+    def admit(self, now: float, entry: int) -> bool:
         """Spend a grant, or request one from the home."""
         self._tokens[entry] = [until for until in self._tokens[entry] if until > now]
         if self._tokens[entry]:
             self._tokens[entry].pop(0)
             return True
-        if now - self._asked_at[entry] >= self.ASK_S:
-            self._asked_at[entry] = now
+        if now - self._requested_at[entry] >= self.REQUEST_INTERVAL_S:
+            self._requested_at[entry] = now
             home = rank(TARGET, self.run.list_registered(entry, now))[0]
             self.run.send(now, entry, self.run.names.index(home), self._grant, entry)
         return False
--- a/halldoor/standins/relay.py
+++ b/halldoor/standins/relay.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-CutTest = Callable[[str], bool]
+CutCheck = Callable[[str], bool]
 
 
 class Relays:
@@ -23,13 +23,13 @@
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
 
-    def add(self, listen: tuple[str, int], to: tuple[str, int], is_cut: CutTest) -> None:
+    def add(self, listen: tuple[str, int], to: tuple[str, int], is_cut: CutCheck) -> None:
         """Relay connections from ``listen`` to ``to`` unless ``is_cut(caller's address)``."""
 
         async def serve(reader: Any, writer: Any) -> None:
             # Cancelled only when all relays stop.
             with contextlib.suppress(asyncio.CancelledError):
-                await _serve(reader, writer, to, is_cut)
+                await _relay_connection(reader, writer, to, is_cut)
 
         async def start() -> None:
             await asyncio.start_server(serve, *listen, limit=262_144)
@@ -51,40 +51,42 @@
         self._loop.close()
 
 
-async def _serve(reader: Any, writer: Any, to: tuple[str, int], is_cut: CutTest) -> None:
+async def _relay_connection(
+    reader: Any, writer: Any, to: tuple[str, int], is_cut: CutCheck
+) -> None:
     """Relay one connection in both directions."""
     source = writer.get_extra_info("peername")[0]
     try:
         if is_cut(source):
-            await _wait_while(source, is_cut)
+            await _wait_while_cut(source, is_cut)
             return
-        there_reader, there_writer = await asyncio.open_connection(*to, limit=262_144)
+        remote_reader, remote_writer = await asyncio.open_connection(*to, limit=262_144)
         try:
             await asyncio.gather(
-                _copy(reader, there_writer, source, is_cut),
-                _copy(there_reader, writer, source, is_cut),
+                _copy(reader, remote_writer, source, is_cut),
+                _copy(remote_reader, writer, source, is_cut),
             )
         finally:
-            there_writer.close()
+            remote_writer.close()
     except OSError:
         pass
     finally:
         writer.close()
 
 
-async def _copy(reader: Any, writer: Any, source: str, is_cut: CutTest) -> None:
+async def _copy(reader: Any, writer: Any, source: str, is_cut: CutCheck) -> None:
     """Copy one direction of a connection; bytes read during a cut are dropped, and it closes."""
     with contextlib.suppress(OSError):
         while data := await reader.read(65_536):
             if is_cut(source):
-                await _wait_while(source, is_cut)
+                await _wait_while_cut(source, is_cut)
                 break
             writer.write(data)
             await writer.drain()
     writer.close()
 
 
-async def _wait_while(source: str, is_cut: CutTest) -> None:
+async def _wait_while_cut(source: str, is_cut: CutCheck) -> None:
     """Wait until the cut of a caller's address ends."""
     while is_cut(source):
         await asyncio.sleep(0.05)
--- a/halldoor/standins/replay.py
+++ b/halldoor/standins/replay.py
@@ -44,7 +44,7 @@
 
 ADDRESS = Address("127.0.0.1", 1)
 SERVICE = "deck"
-SPREAD = 0.15
+WORK_DEVIATION = 0.15
 """Largest deviation of a request's work time from its mean, as a share of the mean."""
 
 
@@ -110,10 +110,10 @@
         self.running = 0
         self.waiting: deque[_Request] = deque()
         self.warm: OrderedDict[str, None] = OrderedDict()
-        self.is_slow_at: list[Slowdown] = []
+        self.slowdowns: list[Slowdown] = []
         self.cold_until = 0.0
 
-    def begin(self, key: str, now: float, source: random.Random) -> tuple[float, bool]:
+    def start_work(self, key: str, now: float, source: random.Random) -> tuple[float, bool]:
         """Start a request; return its work time in seconds and whether the key was warm."""
         is_warm = key in self.warm
         self.warm[key] = None
@@ -121,12 +121,12 @@
         if len(self.warm) > self.pattern.warm_keys:
             self.warm.popitem(last=False)
         work_s = self.pattern.warm_s if is_warm else self.pattern.cold_s
-        for slowdown in self.is_slow_at:
+        for slowdown in self.slowdowns:
             if slowdown.at_s <= now < slowdown.at_s + slowdown.for_s:
                 work_s *= slowdown.factor
         if now < self.cold_until:
             work_s *= JUST_STARTED_FACTOR
-        return work_s * source.uniform(1 - SPREAD, 1 + SPREAD), is_warm
+        return work_s * source.uniform(1 - WORK_DEVIATION, 1 + WORK_DEVIATION), is_warm
 
 
 class ModelEntry:
@@ -210,10 +210,10 @@
         for slowdown in pattern.slowdowns:
             count = round(slowdown.share * len(self._targets))
             for name in self._source.sample(sorted(self._targets), count):
-                self._targets[name].is_slow_at.append(slowdown)
+                self._targets[name].slowdowns.append(slowdown)
         for evacuation in pattern.evacuations:
-            self._at(evacuation.at_s, partial(self._evacuate, evacuation))
-            self._at(evacuation.until_s, partial(self._take_back, evacuation))
+            self._schedule(evacuation.at_s, partial(self._evacuate, evacuation))
+            self._schedule(evacuation.until_s, partial(self._end_evacuation, evacuation))
         for hall, load in pattern.halls.items():
             first: ModelEntry | None = None
             for i in range(load.entries):
@@ -230,7 +230,7 @@
         """Evacuate a hall: its targets receive no new requests."""
         self._catalog.apply(EvacuationSet(evacuation.hall, True), self._now)
 
-    def _take_back(self, evacuation: Evacuation) -> None:
+    def _end_evacuation(self, evacuation: Evacuation) -> None:
         """End the evacuation of a hall; its targets are cold and have no warm key."""
         for target in list(self._catalog.list_targets()):
             if target.record.hall == evacuation.hall:
@@ -243,13 +243,13 @@
 
     def run(self) -> Tally:
         """Run the simulation until no event is left, and return the counts."""
-        self._at(self._draw_pause(), self._arrive)
+        self._schedule(self._draw_pause(), self._handle_arrival)
         while self._events:
             self._now, _, event = heapq.heappop(self._events)
             event()
         return self.tally
 
-    def _at(self, after_s: float, event: Callable[[], None]) -> None:
+    def _schedule(self, after_s: float, event: Callable[[], None]) -> None:
         """Schedule an event after a delay in seconds."""
         heapq.heappush(self._events, (self._now + after_s, next(self._order), event))
 
@@ -257,11 +257,11 @@
         """Draw the time until the next request arrives, in seconds."""
         return self._source.expovariate(self._pattern.get_rate(self._now))
 
-    def _arrive(self) -> None:
+    def _handle_arrival(self) -> None:
         """Schedule the next arrival, and send this request through a randomly drawn entry."""
         pause_s = self._draw_pause()
         if self._now + pause_s < self._pattern.length_s:
-            self._at(pause_s, self._arrive)
+            self._schedule(pause_s, self._handle_arrival)
         (entry,) = self._source.choices(self.entries, self._weights)
         key = f"{entry.region}-{self._source.randrange(self._pattern.keys)}"
         self._send(entry, key, self._now, tried=())
@@ -272,18 +272,18 @@
         """Choose a target and send the request to it, or count the request as refused."""
         choice = entry.chooser.choose(self._route, SERVICE, key, self._now, tried=tried)
         if isinstance(choice, NoTarget) or len(tried) >= self._route.max_attempts:
-            self._end(entry, began_at, "refused")
+            self._count_outcome(entry, began_at, "refused")
             return
         name = choice.target.name
         entry.chooser.in_flight[name] += 1
         request = _Request(key, began_at, entry, choice)
-        self._at(choice.estimate.travel_s / 2, lambda: self._reach(request, tried))
+        self._schedule(choice.estimate.travel_s / 2, lambda: self._reach_target(request, tried))
 
-    def _reach(self, request: _Request, tried: tuple[str, ...]) -> None:
+    def _reach_target(self, request: _Request, tried: tuple[str, ...]) -> None:
         """Start a request that reaches its target, queue it, or fail over if the queue is full."""
         target = self._targets[request.choice.target.name]
         if target.running < self._pattern.slots:
-            self._work(target, request)
+            self._start_work(target, request)
         elif len(target.waiting) < self._pattern.queue:
             target.waiting.append(request)
         else:
@@ -292,44 +292,50 @@
             entry.outliers.add_shed(target.name, self._now)
             self._send(entry, request.key, request.began_at, tried=(*tried, target.name))
 
-    def _work(self, target: _Target, request: _Request) -> None:
+    def _start_work(self, target: _Target, request: _Request) -> None:
         """Start a request on a free slot of a target, and schedule its answer."""
         target.running += 1
-        work_s, is_warm = target.begin(request.key, self._now, self._source)
+        work_s, is_warm = target.start_work(request.key, self._now, self._source)
         self.tally.counts["warm" if is_warm else "cold"] += 1
         region = self._pattern.halls[request.choice.target.record.hall].region
         self.tally.runs.append(Run(self._now, request.entry.region, region))
-        self._at(work_s, lambda: self._answer(target, request))
+        self._schedule(work_s, lambda: self._finish_work(target, request))
 
-    def _answer(self, target: _Target, request: _Request) -> None:
+    def _finish_work(self, target: _Target, request: _Request) -> None:
         """Send the answer of a target, and start the next request of its queue."""
         report = LoadReport(target.running, len(target.waiting), self._pattern.slots)
         target.running -= 1
-        self._at(request.choice.estimate.travel_s / 2, lambda: self._learn(request, report))
+        self._schedule(
+            request.choice.estimate.travel_s / 2, lambda: self._receive_answer(request, report)
+        )
         if target.waiting:
-            self._work(target, target.waiting.popleft())
+            self._start_work(target, target.waiting.popleft())
 
-    def _learn(self, request: _Request, report: LoadReport) -> None:
+    def _receive_answer(self, request: _Request, report: LoadReport) -> None:
         """Update the entry's statistics from an answer as the gateway does; count the request."""
         entry, choice = request.entry, request.choice
         name, hall = choice.target.name, choice.target.record.hall
         took_s = self._now - request.began_at
-        self._take_answer(entry, request, report, took_s)
+        self._record_answer(entry, request, report, took_s)
         entry.chooser.in_flight[name] -= 1
         if self._pattern.sharing_s is not None:
-            self._at(self._pattern.sharing_s, lambda: self._share(request, report, took_s))
+            self._schedule(
+                self._pattern.sharing_s, lambda: self._share_answer(request, report, took_s)
+            )
         entry.outliers.add_success(name, SERVICE, took_s, self._now)
         if self._pattern.halls[hall].region != entry.region:
             self.tally.counts["far"] += 1
-        self._end(entry, request.began_at, "in aim" if took_s <= self._pattern.aim_s else "late")
+        self._count_outcome(
+            entry, request.began_at, "in aim" if took_s <= self._pattern.aim_s else "late"
+        )
 
-    def _share(self, request: _Request, report: LoadReport, took_s: float) -> None:
+    def _share_answer(self, request: _Request, report: LoadReport, took_s: float) -> None:
         """Record an answer at the other entries of the hall, as observation messages do."""
         for entry in self.entries:
             if entry is not request.entry and entry.hall == request.entry.hall:
-                self._take_answer(entry, request, report, took_s)
+                self._record_answer(entry, request, report, took_s)
 
-    def _take_answer(
+    def _record_answer(
         self, entry: ModelEntry, request: _Request, report: LoadReport, took_s: float
     ) -> None:
         """Record a target's reported load, response time and warm key at an entry."""
@@ -345,7 +351,7 @@
             has_waited=estimate.wait_s > 0,
         )
 
-    def _end(self, entry: ModelEntry, began_at: float, outcome: str) -> None:
+    def _count_outcome(self, entry: ModelEntry, began_at: float, outcome: str) -> None:
         """Count a finished request by its outcome."""
         by_second = {
             "in aim": self.tally.in_aim,
--- a/halldoor/standins/restways.py
+++ b/halldoor/standins/restways.py
@@ -12,7 +12,7 @@
 
 from halldoor.core.placement import rank
 from halldoor.core.targets.budget import RateShare
-from halldoor.standins.ratefleet import TARGET, RateWay, Run, list_receivers
+from halldoor.standins.ratefleet import TARGET, RateStrategy, Run, list_receivers
 
 ANSWER_S = 0.02
 """Time from a request to its refusal, in seconds."""
@@ -26,7 +26,7 @@
 """Time after a refusal in which requests sent before it may still arrive, in seconds."""
 
 
-class Need(NamedTuple):
+class RefusalPhase(NamedTuple):
     """Time in which a target refuses requests, and the entries that it refuses.
 
     Attributes
@@ -45,76 +45,76 @@
     only_first: bool = False
 
 
-class OwnRests(RateWay):
+class LocalBackoff(RateStrategy):
     """Each entry backs off for the time it was asked to, and then sends as before."""
 
     SPREAD = 0.0
     """Largest share by which a caller's retry time is randomly extended."""
 
-    def __init__(self, need: Need) -> None:
-        self.need = need
-        self.turned_away: list[tuple[float, int]] = []
+    def __init__(self, phase: RefusalPhase) -> None:
+        self.phase = phase
+        self.refusals: list[tuple[float, int]] = []
 
     def restart(self, now: float) -> None:
         """Reset the back-offs of all entries."""
-        self.until = [0.0] * len(self.run.names)
+        self.backoff_until = [0.0] * len(self.run.names)
 
-    def take(self, now: float, entry: int) -> bool:
+    def admit(self, now: float, entry: int) -> bool:
         """Send a request, or give its caller a retry time if the entry backs off."""
-        if self._try(now, entry):
+        if self._try_send(now, entry):
             return True
-        left_s = self.until[entry] - now
+        left_s = self.backoff_until[entry] - now
         if left_s > 0:
-            told_s = left_s * (1.0 + self.run.random.uniform(0.0, self.SPREAD))
-            self.run.at(now + told_s, self._come_back, entry)
+            retry_after_s = left_s * (1.0 + self.run.random.uniform(0.0, self.SPREAD))
+            self.run.schedule(now + retry_after_s, self._retry, entry)
         return False
 
-    def _come_back(self, now: float, entry: int) -> None:
+    def _retry(self, now: float, entry: int) -> None:
         """Retry a request once; if it is refused again, the caller gives up."""
-        if self._try(now, entry):
+        if self._try_send(now, entry):
             self.run.sent.append((now, entry))
 
-    def _try(self, now: float, entry: int) -> bool:
+    def _try_send(self, now: float, entry: int) -> bool:
         """Send a request unless the entry backs off; schedule its answer."""
-        if now < self.until[entry] or not self.may_return(now, entry):
+        if now < self.backoff_until[entry] or not self.can_send(now, entry):
             return False
-        self.count(now, entry)
-        need = self.need
-        if need.from_s <= now < need.to_s and (not need.only_first or entry == 0):
-            self.turned_away.append((now, entry))
-            self.run.at(now + ANSWER_S, self._read, entry)
+        self.record_sent(now, entry)
+        phase = self.phase
+        if phase.from_s <= now < phase.to_s and (not phase.only_first or entry == 0):
+            self.refusals.append((now, entry))
+            self.run.schedule(now + ANSWER_S, self._receive_refusal, entry)
         else:
-            self.run.at(now + WORK_S, self.read_sound, entry)
+            self.run.schedule(now + WORK_S, self.receive_success, entry)
         return True
 
-    def _read(self, now: float, entry: int) -> None:
+    def _receive_refusal(self, now: float, entry: int) -> None:
         """Receive a refusal, and start or extend the entry's back-off."""
-        self.until[entry] = max(self.until[entry], now + self.need.rest_s)
+        self.backoff_until[entry] = max(self.backoff_until[entry], now + self.phase.rest_s)
         self.notify(now, entry)
 
     def notify(self, now: float, entry: int) -> None:
         """Notify other entries of the back-off; this strategy notifies none."""
 
-    def read_sound(self, now: float, entry: int) -> None:
+    def receive_success(self, now: float, entry: int) -> None:
         """Receive a successful answer."""
 
-    def may_return(self, now: float, entry: int) -> bool:
+    def can_send(self, now: float, entry: int) -> bool:
         """Check whether the strategy allows a request after the back-off."""
         return True
 
-    def count(self, now: float, entry: int) -> None:
+    def record_sent(self, now: float, entry: int) -> None:
         """Record a sent request."""
 
-    def find_most_in_rest(self) -> int:
+    def find_most_during_backoff(self) -> int:
         """Return the largest number of requests that one entry sent during one of its back-offs."""
         worst = 0
-        for at, entry in self.turned_away:
-            begin, end = at + ANSWER_S + GRACE_S, at + ANSWER_S + self.need.rest_s
+        for at, entry in self.refusals:
+            begin, end = at + ANSWER_S + GRACE_S, at + ANSWER_S + self.phase.rest_s
             worst = max(worst, sum(e == entry and begin < s < end for s, e in self.run.sent))
         return worst
 
 
-class NotifiedRests(OwnRests):
+class NotifiedBackoff(LocalBackoff):
     """Entries notify each other of back-offs, and every notified entry backs off."""
 
     def start(self, run: Run) -> None:
@@ -124,25 +124,25 @@
 
     def notify(self, now: float, entry: int) -> None:
         """Schedule a notice to the entry's receivers within a message period."""
-        self.run.at(now + self.run.random.uniform(0.0, PERIOD_S), self._send, entry)
+        self.run.schedule(now + self.run.random.uniform(0.0, PERIOD_S), self._send_notices, entry)
 
-    def _send(self, now: float, entry: int) -> None:
+    def _send_notices(self, now: float, entry: int) -> None:
         """Send the end of the back-off to each receiver."""
         for to in self._receivers[entry]:
-            self.run.send(now, entry, to, self._hear, self.until[entry])
+            self.run.send(now, entry, to, self._receive_notice, self.backoff_until[entry])
 
-    def _hear(self, now: float, entry: int, until: float) -> None:
+    def _receive_notice(self, now: float, entry: int, until: float) -> None:
         """Receive a notice, and extend the entry's back-off."""
-        self.until[entry] = max(self.until[entry], until)
+        self.backoff_until[entry] = max(self.backoff_until[entry], until)
 
 
-class SpreadCallers(OwnRests):
+class SpreadRetries(LocalBackoff):
     """Callers are given different retry times, none before the end of the back-off."""
 
     SPREAD = 0.5
 
 
-class SingleTrials(SpreadCallers):
+class SingleTrials(SpreadRetries):
     """After a back-off each entry sends one request at a time until one succeeds."""
 
     def restart(self, now: float) -> None:
@@ -151,22 +151,22 @@
         self._on_trial = [False] * len(self.run.names)
         self._in_flight: Counter[int] = Counter()
 
-    def _read(self, now: float, entry: int) -> None:
+    def _receive_refusal(self, now: float, entry: int) -> None:
         """Receive a refusal, and start or extend the entry's back-off."""
-        super()._read(now, entry)
+        super()._receive_refusal(now, entry)
         self._on_trial[entry] = True
         self._in_flight[entry] -= 1
 
-    def read_sound(self, now: float, entry: int) -> None:
+    def receive_success(self, now: float, entry: int) -> None:
         """Receive a successful answer."""
         self._on_trial[entry] = False
         self._in_flight[entry] -= 1
 
-    def may_return(self, now: float, entry: int) -> bool:
+    def can_send(self, now: float, entry: int) -> bool:
         """Check whether the strategy allows a request after the back-off."""
         return not (self._on_trial[entry] and self._in_flight[entry] > 0)
 
-    def count(self, now: float, entry: int) -> None:
+    def record_sent(self, now: float, entry: int) -> None:
         """Record a sent request."""
         self._in_flight[entry] += 1
 
@@ -180,12 +180,12 @@
 
     DOUBLINGS = 3
 
-    def may_return(self, now: float, entry: int) -> bool:
+    def can_send(self, now: float, entry: int) -> bool:
         """Check whether the strategy allows a request after the back-off."""
-        doublings = now - self.until[entry] if self.until[entry] else math.inf
+        doublings = now - self.backoff_until[entry] if self.backoff_until[entry] else math.inf
         if doublings < self.DOUBLINGS and self.count_in_flight(entry) >= int(2**doublings):
             return False
-        return super().may_return(now, entry)
+        return super().can_send(now, entry)
 
 
 class DoublingShares(SingleTrials):
@@ -201,18 +201,18 @@
         order = rank(TARGET, self.run.names)
         self._ranks = [order.index(name) for name in self.run.names]
 
-    def may_return(self, now: float, entry: int) -> bool:
+    def can_send(self, now: float, entry: int) -> bool:
         """Check whether the strategy allows a request after the back-off."""
-        doublings = now - self.until[entry] if self.until[entry] else math.inf
+        doublings = now - self.backoff_until[entry] if self.backoff_until[entry] else math.inf
         if doublings < self.DOUBLINGS:
             limit = int(self.FROM_PER_S * 2**doublings)
             entries = len(self.run.names)
-            share, place = self._shares[entry], self._ranks[entry]
-            if not share.has_capacity(TARGET, now, limit=limit, entries=entries, rank=place):
+            share, own_rank = self._shares[entry], self._ranks[entry]
+            if not share.has_capacity(TARGET, now, limit=limit, entries=entries, rank=own_rank):
                 return False
-        return super().may_return(now, entry)
+        return super().can_send(now, entry)
 
-    def count(self, now: float, entry: int) -> None:
+    def record_sent(self, now: float, entry: int) -> None:
         """Record a sent request."""
-        super().count(now, entry)
+        super().record_sent(now, entry)
         self._shares[entry].add(TARGET, now)
--- a/halldoor/standins/sample.py
+++ b/halldoor/standins/sample.py
@@ -22,7 +22,7 @@
 
 IP = _build_loopback_ip(os.getpid())
 """Loopback address on which the processes that this one starts listen."""
-_given: set[int] = set()
+_used_ports: set[int] = set()
 
 
 def find_ports(count: int) -> list[int]:
@@ -36,8 +36,8 @@
         while len(ports) < count:
             sock = stack.enter_context(socket.create_server((IP, 0)))
             port = sock.getsockname()[1]
-            if port not in _given:
-                _given.add(port)
+            if port not in _used_ports:
+                _used_ports.add(port)
                 ports.append(port)
         return ports
 
@@ -47,8 +47,8 @@
     while True:
         (first,) = find_ports(1)
         with contextlib.suppress(OSError), socket.create_server((IP, first + 1)):
-            if first + 1 not in _given:
-                _given.add(first + 1)
+            if first + 1 not in _used_ports:
+                _used_ports.add(first + 1)
                 return first, first + 1
 
 
@@ -111,7 +111,7 @@
     ports = iter(find_ports(sum(halls.values()) * 2 + len(halls) * targets))
 
     regions = sorted({name[0] for name in halls})
-    rows = [_make_hall(name, count, ports) for name, count in halls.items()]
+    hall_settings = [_make_hall(name, count, ports) for name, count in halls.items()]
     operations = [
         _make_operation("read", "GET", deadline_s, repeatable=True),
         _make_operation("order", "POST", deadline_s, repeatable=False),
@@ -119,7 +119,7 @@
     ]
     return {
         "regions": [{"name": r} for r in regions],
-        "halls": rows,
+        "halls": hall_settings,
         "targets": [
             {
                 "name": f"{hall}-t{i}",
--- a/halldoor/standins/scripted.py
+++ b/halldoor/standins/scripted.py
@@ -68,7 +68,7 @@
         self._writers.add(writer)
         parser = h11.Connection(h11.SERVER)
         with contextlib.suppress(ConnectionError, h11.RemoteProtocolError):
-            while (request := await self._read(reader, parser, number)) is not None:
+            while (request := await self._read_request(reader, parser, number)) is not None:
                 self.received.append(request)
                 if not await self._run_script(request, reader, writer):
                     break
@@ -95,7 +95,7 @@
         await script
         return True
 
-    async def _read(
+    async def _read_request(
         self, reader: asyncio.StreamReader, parser: h11.Connection, number: int
     ) -> Received | None:
         """Read one request, whole or only its head if ``read_body`` is false."""
--- a/halldoor/standins/soak.py
+++ b/halldoor/standins/soak.py
@@ -46,7 +46,7 @@
         self._lock = threading.Lock()
         self._is_over = threading.Event()
         # Answers in `Halldoor-Ran` that callers received, by operation id.
-        self._told: dict[str, set[str]] = {}
+        self._reported_runs: dict[str, set[str]] = {}
         self.names = [e["name"] for h in fleet.configuration["halls"] for e in h["entries"]]
         self.targets = [t["name"] for t in fleet.configuration["targets"]]
 
@@ -64,18 +64,18 @@
         try:
             response = self.fleet.call(entry, path, **options)
         except Exception:
-            self._count(f"{kind}: no answer")
+            self._count_outcome(f"{kind}: no answer")
             raise
         ran = response.headers.get("Halldoor-Ran", "")
-        self._count(f"{kind}: {'served' if response.status == 200 else ran}")
+        self._count_outcome(f"{kind}: {'served' if response.status == 200 else ran}")
         return response
 
-    def _count(self, what: str) -> None:
+    def _count_outcome(self, what: str) -> None:
         """Count an outcome."""
         with self._lock:
             self.outcomes[what] += 1
 
-    def violate(self, what: str) -> None:
+    def record_violation(self, what: str) -> None:
         """Record a violation of an invariant."""
         with self._lock:
             self.violations.append(what)
@@ -86,7 +86,7 @@
         path = f"{SERVICE}/read/x?size={size}&seed={seed}&work_s={rng.choice([0, 0.02, 0.2])}"
         response = self._call(rng.choice(self.names), path, "read")
         if response.status == 200 and response.data != make_bytes(seed, size):
-            self.violate(f"read {seed}: another answer of {len(response.data)} bytes")
+            self.record_violation(f"read {seed}: another answer of {len(response.data)} bytes")
 
     def _upload(self, rng: random.Random) -> None:
         """Send an upload, and check the digest of the body that arrived."""
@@ -95,9 +95,9 @@
             rng.choice(self.names), f"{SERVICE}/upload", "upload", method="PUT", body=body
         )
         if response.status == 200:
-            told = json.loads(response.data)["sha256"]
-            if told != sha256(body).hexdigest():
-                self.violate("upload: another body arrived")
+            reported = json.loads(response.data)["sha256"]
+            if reported != sha256(body).hexdigest():
+                self.record_violation("upload: another body arrived")
 
     def _order(self, rng: random.Random) -> None:
         """Send an order with a ticket through one or several entries."""
@@ -126,8 +126,8 @@
                     headers=headers,
                 )
                 with self._lock:
-                    told = self._told.setdefault(operation, set())
-                    told.add(response.headers.get("Halldoor-Ran", ""))
+                    reported = self._reported_runs.setdefault(operation, set())
+                    reported.add(response.headers.get("Halldoor-Ran", ""))
 
     def run_faults(self, minutes: float) -> None:
         """Inject random faults one after another, sometimes two at once, for some minutes."""
@@ -148,7 +148,7 @@
         ends = time.monotonic() + minutes * 60
         while time.monotonic() < ends:
             chosen = self.random.sample(faults, self.random.choice([1, 1, 2]))
-            threads = [threading.Thread(target=self._bring, args=(f,)) for f in chosen]
+            threads = [threading.Thread(target=self._inject, args=(f,)) for f in chosen]
             for thread in threads:
                 thread.start()
             for thread in threads:
@@ -156,14 +156,14 @@
             time.sleep(self.random.uniform(0.5, 2.0))
         self._is_over.set()
 
-    def _bring(self, fault: Any) -> None:
+    def _inject(self, fault: Any) -> None:
         """Inject one fault, and count it by its function's name."""
         with self._lock:
             self.faults[fault.__name__.strip("_")] += 1
         try:
             fault()
         except Exception as exc:
-            self._count(f"fault not injected: {type(exc).__name__}")
+            self._count_outcome(f"fault not injected: {type(exc).__name__}")
 
     def _kill(self) -> None:
         """Kill an entry, and restart it up to 3 s later."""
@@ -191,19 +191,19 @@
         """Cut the traffic between the first two halls."""
         self.fleet.cut("127.0.1.", "127.0.2.")
         time.sleep(self.random.uniform(1, 4))
-        self.fleet.heal()
+        self.fleet.end_cuts()
 
     def _cut_inside(self) -> None:
         """Cut the traffic between the two entries of the first hall."""
         self.fleet.cut("127.0.1.1", "127.0.1.2")
         time.sleep(self.random.uniform(1, 4))
-        self.fleet.heal()
+        self.fleet.end_cuts()
 
     def _cut_platform(self) -> None:
         """Cut the first hall off from the platform."""
         self.fleet.cut("127.0.1.", "127.0.0.")
         time.sleep(self.random.uniform(1, 4))
-        self.fleet.heal()
+        self.fleet.end_cuts()
 
     def _platform(self) -> None:
         """Make the platform fail, answer slowly or answer invalid bytes."""
@@ -235,9 +235,9 @@
         ]
         self.fleet.control(name, **self.random.choice(behaviours))
         time.sleep(self.random.uniform(1, 3))
-        self._calm(name)
+        self._reset_target(name)
 
-    def _calm(self, name: str) -> None:
+    def _reset_target(self, name: str) -> None:
         """Reset a target's behaviour to the one without faults."""
         self.fleet.control(
             name,
@@ -270,7 +270,7 @@
         before = self._count_arrivals(name)
         time.sleep(1.5)
         if self._is_seen_leaving(name) and self._count_arrivals(name) != before:
-            self.violate(f"drain: {name} still gets new work after 4 s")
+            self.record_violation(f"drain: {name} still gets new work after 4 s")
         self.fleet.run_cli("drain", name, "--back")
 
     def _is_seen_leaving(self, name: str) -> bool:
@@ -293,7 +293,7 @@
         position = self.random.choice(["0.05", "0.1", "0.2"])
         self.fleet.run_cli("shift", "start", "to-b", "--position", position)
 
-    def judge(self) -> None:
+    def check_results(self) -> None:
         """Check the targets' counts against the callers' answers and the slots; check the logs."""
         time.sleep(DEADLINE_S * 2)
         runs: Counter[str] = Counter()
@@ -301,17 +301,21 @@
             stats = self.fleet.get_json(name, "/stats")
             runs.update(stats["runs"])
             if stats["greatest"] > stats["slots"]:
-                self.violate(f"{name}: {stats['greatest']} in flight, {stats['slots']} slots")
+                self.record_violation(
+                    f"{name}: {stats['greatest']} in flight, {stats['slots']} slots"
+                )
         for operation, count in runs.items():
             if operation != "(none)" and count > 1:
-                self.violate(f"operation {operation} ran {count} times")
-        for operation, told in self._told.items():
-            if "not run" in told and runs[operation]:
-                self.violate(f"operation {operation} ran, but was reported as not run: {told}")
+                self.record_violation(f"operation {operation} ran {count} times")
+        for operation, reported in self._reported_runs.items():
+            if "not run" in reported and runs[operation]:
+                self.record_violation(
+                    f"operation {operation} ran, but was reported as not run: {reported}"
+                )
         for name in self.names:
             for line in self.fleet.read_log(name).splitlines():
                 if "Invariant broken" in line or "InvariantError" in line:
-                    self.violate(f"{name}: {line.strip()[:200]}")
+                    self.record_violation(f"{name}: {line.strip()[:200]}")
 
 
 def run(*, seed: int = 1, minutes: float = 10.0) -> None:
@@ -346,20 +350,20 @@
         soak.run_faults(minutes)
         for caller in callers:
             caller.join(30)
-        soak.judge()
-        _print(soak, seed, minutes)
+        soak.check_results()
+        _print_summary(soak, seed, minutes)
     if soak.violations:
         raise SystemExit(1)
 
 
-def _print(soak: Soak, seed: int, minutes: float) -> None:
+def _print_summary(soak: Soak, seed: int, minutes: float) -> None:
     """Print the faults, outcomes and violations of a run."""
     print(f"seed {seed}, {minutes} minutes")
     print("faults:", ", ".join(f"{n} {k}" for k, n in sorted(soak.faults.items())))
     print("outcomes:")
     for outcome, count in sorted(soak.outcomes.items()):
         print(f"  {outcome}: {count}")
-    print(f"operations with an answer: {len(soak._told)}")
+    print(f"operations with an answer: {len(soak._reported_runs)}")
     print(f"violations: {len(soak.violations)}")
     for violation in soak.violations[:20]:
         print(f"  {violation}")
--- a/halldoor/standins/storefaults.py
+++ b/halldoor/standins/storefaults.py
@@ -11,15 +11,15 @@
 
 SPAN_S = 2.0
 """Time for which most faults last, in seconds."""
-SLOW_STORE = 60.0
+SLOW_STORE_FACTOR = 60.0
 """Factor by which a slow store's processing time for a call grows."""
-REFUSED = 1 / 3
+REFUSED_SHARE = 1 / 3
 """Share of the calls that a throttling store refuses."""
 GAP_S = 1.0
 """Time for which watches receive no changes before the history is dropped, in seconds."""
-SLOW_ENTRY_S = 0.3
+ENTRY_DELAY_S = 0.3
 """Delay before a slow entry processes a message that arrived, in seconds."""
-LOSS = 0.3
+LOSS_SHARE = 0.3
 """Share of the messages of a hall's entries that are lost on a bad link."""
 DEAD_CONNECTION_S = 2.0
 """Time until an idle connection is detected as dead, in seconds; see `HttpConnection`."""
@@ -27,7 +27,7 @@
 """Number of entries of the fleet for each one that a fault is applied to."""
 
 
-class Scene(NamedTuple):
+class FaultContext(NamedTuple):
     """What a fault needs: the fleet, the random source and the record of affected entries.
 
     Attributes
@@ -44,128 +44,130 @@
 class Fault(NamedTuple):
     """A fault, and the range of times before the measured moment at which it starts, in seconds."""
 
-    begin: Callable[[Scene], None]
+    begin: Callable[[FaultContext], None]
     earliest_s: float
     latest_s: float
 
-    def schedule(self, scene: Scene, moment: float) -> None:
+    def schedule(self, context: FaultContext, moment: float) -> None:
         """Schedule the fault at a random time before a moment of the event loop's clock."""
-        at = moment - scene.random.uniform(self.latest_s, self.earliest_s)
-        asyncio.get_running_loop().call_at(at, self.begin, scene)
+        at = moment - context.random.uniform(self.latest_s, self.earliest_s)
+        asyncio.get_running_loop().call_at(at, self.begin, context)
 
 
-def _later(after_s: float, callback: Callable[..., object], *args: object) -> None:
+def _call_later(after_s: float, callback: Callable[..., object], *args: object) -> None:
     """Schedule a callback after a delay in seconds."""
     asyncio.get_running_loop().call_later(after_s, callback, *args)
 
 
-def _set_for(subjects: Iterable[object], attribute: str, value: object, for_s: float) -> None:
+def _set_temporarily(
+    subjects: Iterable[object], attribute: str, value: object, for_s: float
+) -> None:
     """Set an attribute of some objects, and restore it after ``for_s`` seconds."""
     for subject in subjects:
         before = getattr(subject, attribute)
         setattr(subject, attribute, value)
-        _later(for_s, setattr, subject, attribute, before)
+        _call_later(for_s, setattr, subject, attribute, before)
 
 
-def _draw(scene: Scene, *, are_victims: bool = True) -> list[int]:
+def _choose_entries(context: FaultContext, *, are_victims: bool = True) -> list[int]:
     """Choose entries at random, with up to two readers among them, and return their ports."""
-    ports = sorted(scene.fleet.entries)
-    readers = scene.fleet.list_readers()
+    ports = sorted(context.fleet.entries)
+    readers = context.fleet.list_readers()
     count = max(1, len(ports) // ENTRIES_PER_VICTIM)
-    drawn = set(scene.random.sample(ports, count))
-    drawn |= set(scene.random.sample(readers, min(len(readers), 2)))
+    drawn = set(context.random.sample(ports, count))
+    drawn |= set(context.random.sample(readers, min(len(readers), 2)))
     if are_victims:
-        scene.victims.update(drawn)
+        context.victims.update(drawn)
     return sorted(drawn)
 
 
-def _change_another_target(scene: Scene) -> None:
+def _change_another_target(context: FaultContext) -> None:
     """Write an unrelated target record: entries pause after reading a change."""
-    fleet = scene.fleet
-    fleet.write_target(fleet.targets - 1, "h0", slots=scene.random.randrange(7, 10_000))
+    fleet = context.fleet
+    fleet.write_target(fleet.targets - 1, "h0", slots=context.random.randrange(7, 10_000))
 
 
-def _slow_store(scene: Scene) -> None:
+def _slow_store(context: FaultContext) -> None:
     """Slow the store down for every call."""
-    _set_for([scene.fleet.server], "slowness", SLOW_STORE, 3 * SPAN_S)
+    _set_temporarily([context.fleet.server], "slowness", SLOW_STORE_FACTOR, 3 * SPAN_S)
 
 
-def _throttle_store(scene: Scene) -> None:
+def _throttle_store(context: FaultContext) -> None:
     """Refuse a share of the calls to the store."""
-    _set_for([scene.fleet.server], "refused", REFUSED, 3 * SPAN_S)
+    _set_temporarily([context.fleet.server], "refused", REFUSED_SHARE, 3 * SPAN_S)
 
 
-def _open_gap(scene: Scene) -> None:
+def _open_gap(context: FaultContext) -> None:
     """Withhold changes from watches, then fail the watches and drop the history."""
-    scene.fleet.store.open_gap()
-    _later(GAP_S, scene.fleet.store.close_gap)
+    context.fleet.store.open_gap()
+    _call_later(GAP_S, context.fleet.store.close_gap)
 
 
-def _drop_history(scene: Scene) -> None:
+def _drop_history(context: FaultContext) -> None:
     """Drop the store's history, and fail all watches."""
-    scene.fleet.store.close_gap()
+    context.fleet.store.close_gap()
 
 
-def _slow_entries(scene: Scene) -> None:
+def _slow_entries(context: FaultContext) -> None:
     """Delay the processing of messages at some entries."""
-    nodes = [scene.fleet.nodes[port] for port in _draw(scene)]
-    _set_for(nodes, "slow_s", SLOW_ENTRY_S, 3 * SPAN_S)
+    nodes = [context.fleet.nodes[port] for port in _choose_entries(context)]
+    _set_temporarily(nodes, "slow_s", ENTRY_DELAY_S, 3 * SPAN_S)
 
 
-def _suspend_entries(scene: Scene) -> None:
+def _suspend_entries(context: FaultContext) -> None:
     """Suspend some entries."""
-    for port in _draw(scene):
-        scene.fleet.nodes[port].suspend(SPAN_S)
+    for port in _choose_entries(context):
+        context.fleet.nodes[port].suspend(SPAN_S)
 
 
-def _isolate_entries(scene: Scene) -> None:
+def _isolate_entries(context: FaultContext) -> None:
     """Isolate some entries from the store and from all other entries."""
-    nodes = [scene.fleet.nodes[port] for port in _draw(scene)]
-    _set_for(nodes, "is_isolated", True, SPAN_S)
+    nodes = [context.fleet.nodes[port] for port in _choose_entries(context)]
+    _set_temporarily(nodes, "is_isolated", True, SPAN_S)
 
 
-def _cut_from_store(scene: Scene) -> None:
+def _cut_from_store(context: FaultContext) -> None:
     """Block the traffic between some entries and the store only."""
-    links = [scene.fleet.entries[port].link for port in _draw(scene)]
-    _set_for(links, "is_silent", True, SPAN_S)
+    links = [context.fleet.entries[port].link for port in _choose_entries(context)]
+    _set_temporarily(links, "is_silent", True, SPAN_S)
 
 
-def _lose_messages(scene: Scene) -> None:
+def _lose_messages(context: FaultContext) -> None:
     """Lose a share of the messages from and to the entries of one hall."""
-    entries = scene.fleet.entries
-    hall = scene.random.choice(sorted({entry.node.place.hall for entry in entries.values()}))
-    ports = [port for port, entry in entries.items() if entry.node.place.hall == hall]
-    scene.victims.update(ports)
-    _set_for([scene.fleet.nodes[port] for port in ports], "loss", LOSS, 3 * SPAN_S)
+    entries = context.fleet.entries
+    hall = context.random.choice(sorted({entry.node.location.hall for entry in entries.values()}))
+    ports = [port for port, entry in entries.items() if entry.node.location.hall == hall]
+    context.victims.update(ports)
+    _set_temporarily([context.fleet.nodes[port] for port in ports], "loss", LOSS_SHARE, 3 * SPAN_S)
 
 
-def _kill_entries(scene: Scene) -> None:
+def _kill_entries(context: FaultContext) -> None:
     """Kill some entries, and restart them after `SPAN_S`."""
-    for port in _draw(scene):
-        scene.fleet.entries[port].stop()
-        _later(SPAN_S, scene.fleet.replace, port)
+    for port in _choose_entries(context):
+        context.fleet.entries[port].stop()
+        _call_later(SPAN_S, context.fleet.restart_entry, port)
 
 
-def _restart_entries(scene: Scene) -> None:
+def _restart_entries(context: FaultContext) -> None:
     """Restart some entries one after the other."""
-    ports = _draw(scene)
+    ports = _choose_entries(context)
     for i, port in enumerate(ports):
-        _later(2 * SPAN_S * i / len(ports), scene.fleet.replace, port)
+        _call_later(2 * SPAN_S * i / len(ports), context.fleet.restart_entry, port)
 
 
-def _silence_connections(scene: Scene) -> None:
+def _silence_connections(context: FaultContext) -> None:
     """Break the connections of some watches silently; new connections work."""
-    for port in _draw(scene, are_victims=False):
-        scene.fleet.entries[port].link.silence_watch(noticed_s=DEAD_CONNECTION_S)
+    for port in _choose_entries(context, are_victims=False):
+        context.fleet.entries[port].link.silence_watch(detection_s=DEAD_CONNECTION_S)
 
 
-def _stick_watches(scene: Scene) -> None:
+def _drop_watches(context: FaultContext) -> None:
     """Drop some watches in the store while their connections stay open."""
-    for port in _draw(scene, are_victims=False):
-        entry = scene.fleet.entries[port]
+    for port in _choose_entries(context, are_victims=False):
+        entry = context.fleet.entries[port]
         entry.link.silence_watch()
         # The next measurement must start without this fault.
-        _later(5 * SPAN_S, entry.sync.restart_watch, "the fault is over")
+        _call_later(5 * SPAN_S, entry.sync.restart_watch, "the fault is over")
 
 
 FAULTS = {
@@ -182,5 +184,5 @@
     "entries killed": Fault(_kill_entries, 1.8, -0.5),
     "entries restarted": Fault(_restart_entries, 3.0, 0.1),
     "connections silent": Fault(_silence_connections, 1.5, 0.05),
-    "watches stuck": Fault(_stick_watches, 1.5, 0.05),
+    "watches stuck": Fault(_drop_watches, 1.5, 0.05),
 }
--- a/halldoor/standins/storefleet.py
+++ b/halldoor/standins/storefleet.py
@@ -19,11 +19,11 @@
 from halldoor.core.targets.relay import RelaySettings, choose_readers
 from halldoor.gateway.plain import TARGET_PREFIX, TargetModel
 from halldoor.standins.memorystore import MemoryStore, StoreCopy
-from halldoor.standins.modelentry import ModelClient, ModelEntry, NoLog
-from halldoor.standins.modelnetwork import Delays, Network, Node, Place, create_task
+from halldoor.standins.modelentry import CountingLog, ModelClient, ModelEntry
+from halldoor.standins.modelnetwork import Delays, Location, Network, Node, create_task
 from halldoor.standins.storelink import StoreLink, StoreServer
 
-__all__ = ["IP", "Address", "ModelClient", "ModelEntry", "NoLog", "StoreFleet", "StoreLink"]
+__all__ = ["IP", "Address", "CountingLog", "ModelClient", "ModelEntry", "StoreFleet", "StoreLink"]
 
 PAGE_ITEMS = 500
 """Items on a page of the store."""
@@ -61,7 +61,7 @@
         The store as a network node, with its faults.
     nodes : dict of int to Node
         Entries as network nodes by port, with their faults.
-    handed_bytes : int
+    answer_bytes : int
         Bytes of the answers that entries sent to each other.
     """
 
@@ -84,7 +84,7 @@
         self.store.era = "0"
         self.settings = settings if settings is not None else RelaySettings()
         self.batch_s = batch_s
-        self.handed_bytes = 0
+        self.answer_bytes = 0
         self.random = Random(seed)
         self.network = Network(delays if delays is not None else Delays(), Random(seed))
         self.nodes: dict[int, Node] = {}
@@ -92,7 +92,7 @@
         self._halls, self._regions = halls, regions
         self.server = StoreServer(
             self.store,
-            Place("h0", "r0"),
+            Location("h0", "r0"),
             self.network,
             answer_s=answer_s,
             random=Random(seed),
@@ -100,12 +100,12 @@
         for i in range(targets):
             self.write_target(i, self.find_hall(i))
         self.entries: dict[int, ModelEntry] = {}
-        places = (
+        entry_halls = (
             [port % halls for port in range(1, entries + 1)]
             if isinstance(entries, int)
             else [hall for hall, count in enumerate(entries) for _ in range(count)]
         )
-        self._members = {port: self._build_member(port, h) for port, h in enumerate(places, 1)}
+        self._members = {port: self._build_member(port, h) for port, h in enumerate(entry_halls, 1)}
 
     def _build_member(self, port: int, hall: int) -> MemberRecord:
         """Build the member record of the entry with a port, in the hall with a number."""
@@ -164,14 +164,14 @@
         if entry is not None and entry.tasks:
             entry.port.datagram_received(data, (sender.ip, sender.port))
 
-    def replace(self, port: int) -> ModelEntry:
+    def restart_entry(self, port: int) -> ModelEntry:
         """Kill an entry and start a new one on its port."""
         self.entries[port].stop()
         entry = self.entries[port] = ModelEntry(self, self._members[port])
         entry.start()
         return entry
 
-    def cut(self, port: int, for_s: float) -> None:
+    def cut_off_from_store(self, port: int, for_s: float) -> None:
         """Refuse an entry's calls to the store for a time, in seconds."""
         link = self.entries[port].link
         link.is_cut = True
@@ -179,23 +179,23 @@
 
     async def restore(self, copy: StoreCopy, *, away_s: float = 0.5) -> None:
         """Restore the store from a copy, after an outage of ``away_s`` seconds."""
-        self.store.cut()
+        self.store.take_down()
         await asyncio.sleep(away_s)
         self.store.restore(copy)
         self.store.is_down = False
 
-    def is_in_step(self, version: int) -> bool:
+    def is_synchronized(self, version: int) -> bool:
         """Check whether every entry has applied a configuration version and is registered."""
         registered = len(self.store.list_keys("entries/")) == len(self.entries)
         return registered and all(
             entry.catalog.configuration_version == version for entry in self.entries.values()
         )
 
-    async def wait(self, version: int, *, limit_s: float = 20.0) -> float:
+    async def wait_until_synchronized(self, version: int, *, limit_s: float = 20.0) -> float:
         """Wait until all entries have applied a version and are registered; return the seconds."""
         began = _now()
         async with asyncio.timeout(limit_s):
-            while not self.is_in_step(version):
+            while not self.is_synchronized(version):
                 await asyncio.sleep(0.01)
         return _now() - began
 
--- a/halldoor/standins/storelink.py
+++ b/halldoor/standins/storelink.py
@@ -11,14 +11,14 @@
 
 from halldoor.gateway.store import Events, Lease, MetadataStore, Page, StoreError
 from halldoor.standins.memorystore import MemoryStore
-from halldoor.standins.modelnetwork import Network, Node, Place
+from halldoor.standins.modelnetwork import Location, Network, Node
 
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 """Timeout of a call, in seconds."""
-READ_S = 3.0
+READ_TIMEOUT_S = 3.0
 """Timeout for reading a page of a range, in seconds."""
 
-SILENT_MOST_S = 60.0
+MAX_SILENCE_S = 60.0
 """Longest time for which a silent watch waits, in seconds; longer than any watch's timeout."""
 
 
@@ -41,10 +41,16 @@
     """
 
     def __init__(
-        self, store: MemoryStore, place: Place, network: Network, *, answer_s: float, random: Random
+        self,
+        store: MemoryStore,
+        location: Location,
+        network: Network,
+        *,
+        answer_s: float,
+        random: Random,
     ) -> None:
         self.store = store
-        self.node = Node(place)
+        self.node = Node(location)
         self.network = network
         self.slowness = 1.0
         self.refused = 0.0
@@ -79,28 +85,30 @@
         self.is_cut = False
         self.is_silent = False
         self._silenced = asyncio.Event()
-        self._noticed_s = math.inf
+        self._detection_s = math.inf
 
-    def silence_watch(self, *, noticed_s: float = math.inf) -> None:
+    def silence_watch(self, *, detection_s: float = math.inf) -> None:
         """Stop the current watch from receiving changes; later watches work.
 
         Parameters
         ----------
-        noticed_s : float, optional
+        detection_s : float, optional
             Time until the connection is detected as dead, in seconds; infinite if the store still
             acknowledges data on it.
         """
-        self._noticed_s = noticed_s
+        self._detection_s = detection_s
         self._silenced.set()
         self._silenced = asyncio.Event()
 
     @asynccontextmanager
-    async def _call(self, kind: str, *, limit_s: float = CALL_S) -> AsyncIterator[MemoryStore]:
+    async def _call(
+        self, kind: str, *, limit_s: float = CALL_TIMEOUT_S
+    ) -> AsyncIterator[MemoryStore]:
         """Send a call over the network; yield the store, and return its answer or error."""
         server = self._server
         try:
             async with asyncio.timeout(limit_s):
-                await self._travel(self._node, server.node)
+                await self._transmit(self._node, server.node)
                 if self.is_cut:
                     server.calls.append((asyncio.get_running_loop().time(), kind))
                     raise StoreError("Cut off.", remedy="Mend the link.")
@@ -113,38 +121,38 @@
                 except StoreError as exc:
                     error = exc
                 era = server.store.era
-                await self._travel(server.node, self._node)
+                await self._transmit(server.node, self._node)
                 self.era = era
                 if error is not None:
                     raise error
         except TimeoutError:
             raise StoreError(f"No answer to {kind}.", remedy="Check the store.") from None
 
-    async def _travel(self, sender: Node, receiver: Node) -> None:
+    async def _transmit(self, sender: Node, receiver: Node) -> None:
         """Wait for one transmission between the entry and the store."""
-        await self._server.network.travel(sender, receiver)
+        await self._server.network.transmit(sender, receiver)
         while self.is_silent:
-            await asyncio.sleep(CALL_S)
+            await asyncio.sleep(CALL_TIMEOUT_S)
 
     async def read_range(self, prefix: str, *, after: str = "") -> Page:
         """Return one page of the keys with a prefix."""
-        async with self._call("range", limit_s=READ_S) as store:
+        async with self._call("range", limit_s=READ_TIMEOUT_S) as store:
             return await store.read_range(prefix, after=after)
 
     async def watch(self, prefix: str, *, after: int, wait_s: float) -> Events:
         """Wait for changes after a revision, for ``wait_s`` seconds at most."""
-        async with self._call("watch", limit_s=wait_s + CALL_S) as store:
+        async with self._call("watch", limit_s=wait_s + CALL_TIMEOUT_S) as store:
             watch = store.watch(prefix, after=after, wait_s=wait_s)
-            return await self._listen(watch)
+            return await self._wait_for_watch(watch)
 
-    async def _listen(self, watch: Coroutine[Any, Any, Events]) -> Events:
+    async def _wait_for_watch(self, watch: Coroutine[Any, Any, Events]) -> Events:
         """Wait for a watch's answer; fail once a silenced connection is detected as dead."""
         waiting = asyncio.ensure_future(watch)
         silenced = asyncio.ensure_future(self._silenced.wait())
         try:
             await asyncio.wait([waiting, silenced], return_when=asyncio.FIRST_COMPLETED)
             if silenced.done():
-                await asyncio.sleep(min(self._noticed_s, SILENT_MOST_S))
+                await asyncio.sleep(min(self._detection_s, MAX_SILENCE_S))
                 raise StoreError("The connection was lost.", remedy="Watch again.")
             return waiting.result()
         finally:
--- a/halldoor/standins/target.py
+++ b/halldoor/standins/target.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-PIECE = 65_536
+PIECE_BYTES = 65_536
 
 
 class Behaviour(msgspec.Struct):
@@ -84,7 +84,7 @@
         self._lock = threading.Lock()
         self._started = time.monotonic()
         self._in_flight = 0
-        self._shed_turn = 0.0
+        self._shed_credit = 0.0
         self.greatest = 0
         self.runs: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
@@ -122,10 +122,10 @@
         """Return the load to report: the configured one, or the true one ``report_lag_s`` ago."""
         if self.behaviour.report_load >= 0:
             return self.behaviour.report_load
-        wanted = time.monotonic() - self.behaviour.report_lag_s
+        reported_at = time.monotonic() - self.behaviour.report_lag_s
         load = 0.0
         for at, value in self._loads:
-            if at > wanted:
+            if at > reported_at:
                 break
             load = value
         return load
@@ -146,26 +146,26 @@
         """Run one request and answer it, or shed it."""
         if self.behaviour.close_idle:
             raise cut_connection(environ, "closed on demand")
-        if not self._enter():
+        if not self._reserve_slot():
             return _send_shed(start)
         try:
             size, digest = _digest_body(environ)
-            if not self._work(environ):
+            if not self._wait_work_time(environ):
                 raise cut_connection(environ, "cancelled or past its deadline")
             operation = environ.get("HTTP_OPERATION_ID", "")
             with self._lock:
                 self.runs[operation or "(none)"] += 1
             return self._answer(environ, start, size, digest)
         finally:
-            self._leave()
+            self._release_slot()
 
-    def _enter(self) -> bool:
+    def _reserve_slot(self) -> bool:
         """Reserve a slot; return False if the request is shed."""
         with self._lock:
             b = self.behaviour
-            self._shed_turn += b.shed_share
-            if self._shed_turn >= 1.0:
-                self._shed_turn -= 1.0
+            self._shed_credit += b.shed_share
+            if self._shed_credit >= 1.0:
+                self._shed_credit -= 1.0
                 self.outcomes["shed"] += 1
                 return False
             if b.leaving:
@@ -180,27 +180,27 @@
             self._loads.append((time.monotonic(), self._in_flight / b.slots))
             return True
 
-    def _leave(self) -> None:
+    def _release_slot(self) -> None:
         """Release the slot of a finished request."""
         with self._lock:
             self._in_flight -= 1
             self._loads.append((time.monotonic(), self._in_flight / self.behaviour.slots))
 
-    def _work(self, environ: dict[str, Any]) -> bool:
+    def _wait_work_time(self, environ: dict[str, Any]) -> bool:
         """Wait for the work time; return False if cancelled or past the deadline."""
         query = parse_qs(environ.get("QUERY_STRING", ""))
         b = self.behaviour
-        takes_s = float(query.get("work_s", [str(b.latency_s)])[0])
+        work_s = float(query.get("work_s", [str(b.latency_s)])[0])
         if time.monotonic() - self._started < b.cold_s:
-            takes_s *= 4
-        ends = time.monotonic() + takes_s
+            work_s *= 4
+        ends = time.monotonic() + work_s
         deadline = time.monotonic() + float(environ.get("HTTP_HALLDOOR_DEADLINE_MS", 1e9)) / 1000
         sock = environ.get("halldoor.socket") if not b.ignore_cancel else None
         while (rest_s := ends - time.monotonic()) > 0:
             if time.monotonic() >= deadline:
                 self.outcomes["deadline"] += 1
                 return False
-            if sock is not None and _is_closed(
+            if sock is not None and _has_disconnected(
                 sock, min(rest_s, deadline - time.monotonic(), 0.05)
             ):
                 self.outcomes["cancelled"] += 1
@@ -247,7 +247,7 @@
     return ConnectionAbortedError(why)
 
 
-def _is_closed(sock: Any, wait_s: float) -> bool:
+def _has_disconnected(sock: Any, wait_s: float) -> bool:
     """Wait up to ``wait_s`` seconds, and return whether the caller closed its connection."""
     poller = select.poll()
     poller.register(sock, select.POLLRDHUP)
@@ -260,7 +260,7 @@
     source = environ["wsgi.input"]
     missing = int(environ.get("CONTENT_LENGTH") or -1)
     while missing != 0:
-        piece = source.read(PIECE if missing < 0 else min(PIECE, missing))
+        piece = source.read(PIECE_BYTES if missing < 0 else min(PIECE_BYTES, missing))
         if not piece:
             if missing > 0:
                 raise ConnectionAbortedError("body cut short")
@@ -279,10 +279,10 @@
 
 def _make_body(seed: str, length: int) -> Iterator[bytes]:
     """Yield the body that a seed determines, in pieces."""
-    whole = make_bytes(seed, min(length, PIECE))
+    block = make_bytes(seed, min(length, PIECE_BYTES))
     while length > 0:
-        yield whole[: min(length, PIECE)]
-        length -= PIECE
+        yield block[: min(length, PIECE_BYTES)]
+        length -= PIECE_BYTES
 
 
 def _cut_after(pieces: Iterator[bytes], environ: dict[str, Any]) -> Iterator[bytes]:
--- a/halldoor/standins/virtualtime.py
+++ b/halldoor/standins/virtualtime.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 
-class _NoSockets(selectors.SelectSelector):
+class _VirtualClockSelector(selectors.SelectSelector):
     """A selector that advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
     """An event loop without sockets, in virtual time."""
 
     def __init__(self) -> None:
-        self._virtual = _NoSockets()
+        self._virtual = _VirtualClockSelector()
         super().__init__(self._virtual)
 
     def time(self) -> float:
--- a/halldoor/standins/withdrawals.py
+++ b/halldoor/standins/withdrawals.py
@@ -16,12 +16,12 @@
 from halldoor.core.targets.catalog import Catalog
 from halldoor.core.targets.relay import RelaySettings
 from halldoor.standins.modelnetwork import Delays
-from halldoor.standins.storefaults import FAULTS, Scene
+from halldoor.standins.storefaults import FAULTS, FaultContext
 from halldoor.standins.storefleet import PAGE_ITEMS, SERVICE, StoreFleet, name_target
 
 LEAD_S = 4.0
 """Time before a withdrawal from which faults are scheduled, in seconds."""
-WATCHED_S = 6.0
+CHECKED_S = 6.0
 """Time after a withdrawal for which entries are checked, in seconds."""
 RECOVERY_S = 8.0
 """Pause after a measurement, long enough for all faults to end, in seconds."""
@@ -31,7 +31,7 @@
 """Share of the bound for which an entry pauses after reading changes."""
 
 
-class Way(Enum):
+class WithdrawalKind(Enum):
     """How a target is withdrawn."""
 
     DRAINING = "draining"
@@ -52,14 +52,14 @@
         return f"{sum(self.entries)} entries"
 
 
-GROWN = Deployment((9, 7, 8, 10, 6, 9, 8, 7, 10), regions=3, targets=450, bound_s=3.0)
+LARGE = Deployment((9, 7, 8, 10, 6, 9, 8, 7, 10), regions=3, targets=450, bound_s=3.0)
 SMALL = (
     Deployment((2, 2, 2), regions=3, targets=36, bound_s=2.0),
     Deployment((2, 2, 2, 2, 2), regions=3, targets=60, bound_s=2.0),
 )
 
 
-class Times(NamedTuple):
+class ExclusionTimes(NamedTuple):
     """Times until entries excluded a withdrawn target, in seconds after the store's write.
 
     Attributes
@@ -90,44 +90,44 @@
     )
 
 
-async def start(fleet: StoreFleet) -> None:
+async def start_fleet(fleet: StoreFleet) -> None:
     """Start the entries, and wait until all have applied the configuration."""
     fleet.configure(1)
     await fleet.start(within_s=0.5)
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     # Entries that lost their reader during the start need this long to follow one again.
     await asyncio.sleep(1.2 * fleet.settings.direct_s)
 
 
-async def measure(
-    fleet: StoreFleet, number: int, way: Way, faults: Sequence[str], random: Random
-) -> Times:
+async def measure_withdrawal(
+    fleet: StoreFleet, number: int, kind: WithdrawalKind, faults: Sequence[str], random: Random
+) -> ExclusionTimes:
     """Withdraw a target while faults are active; return the times until entries excluded it."""
     loop = asyncio.get_running_loop()
-    scene = Scene(fleet, random, set())
+    context = FaultContext(fleet, random, set())
     moment = loop.time() + LEAD_S
     for fault in faults:
-        FAULTS[fault].schedule(scene, moment)
+        FAULTS[fault].schedule(context, moment)
     await asyncio.sleep(LEAD_S)
-    withdraw(fleet, number, way)
-    times = await watch_exclusion(fleet, name_target(number))
+    withdraw(fleet, number, kind)
+    times = await measure_exclusion_times(fleet, name_target(number))
     await asyncio.sleep(RECOVERY_S)
-    return Times(
-        [time for port, time in times.items() if port not in scene.victims],
-        [time for port, time in times.items() if port in scene.victims],
+    return ExclusionTimes(
+        [time for port, time in times.items() if port not in context.victims],
+        [time for port, time in times.items() if port in context.victims],
     )
 
 
-def withdraw(fleet: StoreFleet, number: int, way: Way) -> None:
+def withdraw(fleet: StoreFleet, number: int, kind: WithdrawalKind) -> None:
     """Mark a target as draining in the store, or remove its record."""
-    if way is Way.DRAINING:
+    if kind is WithdrawalKind.DRAINING:
         fleet.write_target(number, fleet.find_hall(number), is_draining=True)
     else:
         fleet.remove_target(number)
 
 
-async def watch_exclusion(
-    fleet: StoreFleet, target: str, *, for_s: float = WATCHED_S
+async def measure_exclusion_times(
+    fleet: StoreFleet, target: str, *, for_s: float = CHECKED_S
 ) -> dict[int, float]:
     """Check all entries for a time; return the time until each excluded a target for good."""
     loop = asyncio.get_running_loop()
@@ -141,7 +141,7 @@
             if seen.get(port) == state:
                 continue
             seen[port] = state
-            if not excludes(catalog, target):
+            if not is_excluded(catalog, target):
                 times[port] = math.inf
             elif times[port] == math.inf:
                 times[port] = loop.time() - began
@@ -149,7 +149,7 @@
     return times
 
 
-def excludes(catalog: Catalog, target: str) -> bool:
+def is_excluded(catalog: Catalog, target: str) -> bool:
     """Check whether a target receives no requests, not even as a last resort."""
     usable = {t.name for t in catalog.list_usable(SERVICE)}
     return target not in usable and target not in catalog.lapsed
--- a/halldoor/tests/test_configuration.py
+++ b/halldoor/tests/test_configuration.py
@@ -103,7 +103,7 @@
                 fleet.wait_ready("a1-e1", revision=before)
                 assert fleet.call("a1-e2", "/s/decks/read/x").status == 200
             finally:
-                fleet.heal()  # The tests after this one share the fleet.
+                fleet.end_cuts()  # The tests after this one share the fleet.
             fleet.wait_ready(*NAMES, revision=revision)
         assert not watcher.decreases
 
--- a/halldoor/tests/test_gateway_life.py
+++ b/halldoor/tests/test_gateway_life.py
@@ -40,7 +40,7 @@
     def test_changes_during_a_store_outage_are_applied_after_it(self, has_history):
         async def check():
             async with GatewayKit.open() as kit:
-                kit.store.cut()
+                kit.store.take_down()
                 kit.write_target("t0", is_draining=True)
                 kit.configure(path_prefix="/new/")
                 if not has_history:
--- a/halldoor/tests/test_handover.py
+++ b/halldoor/tests/test_handover.py
@@ -42,7 +42,7 @@
     fleet = StoreFleet(entries=entries, halls=HALLS, targets=targets, page_items=50)
     fleet.configure(1)
     await fleet.start(within_s=0.5)
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     # Until entries that lost their reader at the start follow one again.
     await asyncio.sleep(2 * fleet.settings.direct_s)
     try:
@@ -76,7 +76,7 @@
                 began = asyncio.get_running_loop().time()
                 await fleet.restore(copy)
                 fleet.configure(3)
-                assert await fleet.wait(3) < IN_STEP_S
+                assert await fleet.wait_until_synchronized(3) < IN_STEP_S
                 assert count_ranges(fleet, began) == len(list_readers(fleet)) * PAGES
                 assert {len(list_targets(entry)) for entry in fleet.entries.values()} == {TARGETS}
 
@@ -150,7 +150,7 @@
                 read_range = entry.link.read_range
 
                 async def restore_and_read(prefix, *, after=""):
-                    if after and fleet.store.copies < 2:
+                    if after and fleet.store.restore_count < 2:
                         fleet.store.restore(copy)
                         fleet.configure(4)
                     return await read_range(prefix, after=after)
@@ -158,7 +158,7 @@
                 entry.link.read_range = restore_and_read
                 fleet.store.restore(copy)
                 fleet.configure(3)
-                await fleet.wait(4, limit_s=IN_STEP_S)
+                await fleet.wait_until_synchronized(4, limit_s=IN_STEP_S)
 
         virtualtime.run(check())
 
@@ -177,7 +177,7 @@
                 )
                 old.stop()
                 began = asyncio.get_running_loop().time()
-                new = fleet.replace(port)
+                new = fleet.restart_entry(port)
                 await asyncio.wait_for(new.sync.is_loaded.wait(), IN_STEP_S)
                 assert count_ranges(fleet, began) == 1
                 assert list_targets(new) == list_targets(reader)
@@ -193,7 +193,7 @@
             async with open_fleet() as fleet:
                 monkeypatch.setattr(storefleet.ModelClient, "call", call)
                 await fleet.start(within_s=0.5)
-                await fleet.wait(1, limit_s=IN_STEP_S)
+                await fleet.wait_until_synchronized(1, limit_s=IN_STEP_S)
                 assert {len(list_targets(entry)) for entry in fleet.entries.values()} == {TARGETS}
 
         virtualtime.run(check())
@@ -206,9 +206,9 @@
                 address = list_readers(fleet)[0].feed._own.relay
                 client = storefleet.ModelClient(fleet, address)
                 plain = await client.call("GET", f"{RECORDS_PATH}?newest=0", timeout_s=1.0)
-                handed = fleet.handed_bytes
+                handed = fleet.answer_bytes
                 whole = await request_records(client, WantedEra("0"), timeout_s=1.0)
-                assert fleet.handed_bytes - handed < len(plain.body) / 3
+                assert fleet.answer_bytes - handed < len(plain.body) / 3
                 # An entry of an earlier version requests uncompressed records.
                 old = msgspec.msgpack.decode(plain.body, type=RecordSetAnswer)
                 items = msgspec.msgpack.decode(old.items, type=list[StoredItem])
@@ -257,9 +257,9 @@
             loop = asyncio.get_running_loop()
             copy = fleet.store.copy()
             for port, at in kills:
-                loop.call_later(at, fleet.replace, port)
+                loop.call_later(at, fleet.restart_entry, port)
             for port, at in cuts:
-                loop.call_later(at, fleet.cut, port, 1.5)
+                loop.call_later(at, fleet.cut_off_from_store, port, 1.5)
             for version, after_s in enumerate(restores, start=2):
                 fleet.write_target(TARGETS + version, "h0")
                 await asyncio.sleep(after_s)
@@ -269,6 +269,6 @@
             held = [list_targets(entry) for entry in fleet.entries.values()]
             stored = {key.removeprefix("targets/") for key in fleet.store.list_keys("targets/")}
             assert all(names == stored for names in held)
-            assert fleet.is_in_step(version)
+            assert fleet.is_synchronized(version)
 
     virtualtime.run(check())
--- a/halldoor/tests/test_mass_lapse.py
+++ b/halldoor/tests/test_mass_lapse.py
@@ -29,11 +29,11 @@
         fleet = StoreFleet(entries=entries, halls=2, targets=TARGETS, seed=seed)
         fleet.configure(1)
         await fleet.start(within_s=0.1)
-        await fleet.wait(1)
+        await fleet.wait_until_synchronized(1)
         await asyncio.sleep(8.0)
         fleet.nodes[1].suspend(AWAY_S + 0.02)
         await asyncio.sleep(0.01)
-        fleet.store.cut()
+        fleet.store.take_down()
         await asyncio.sleep(AWAY_S - 0.5)
         for number in range(TARGETS):
             fleet.remove_target(number)
--- a/halldoor/tests/test_moves.py
+++ b/halldoor/tests/test_moves.py
@@ -46,10 +46,10 @@
 
 
 class TestReturningHall:
-    def test_its_region_does_not_move_at_once(self, tally):
+    def test_region_shift_stays_within_limit(self, tally):
         assert find_largest_move(tally.runs, "ams", RETURN).part <= MAX_SHIFT
 
-    def test_what_its_cold_targets_cannot_take_stays_where_it_was(self, tally):
+    def test_excess_requests_of_cold_targets_are_not_refused(self, tally):
         (evacuation,) = RETURN.evacuations
         back_s = int(evacuation.until_s)
         before = count_refused(tally, back_s - 6, back_s)
@@ -59,14 +59,14 @@
 class TestReturningRegion:
     """Both halls of a region return together after all its requests ran in other regions."""
 
-    def test_it_comes_back_as_slowly_as_the_operators_ask(self, region_runs):
+    def test_region_shift_stays_within_limit(self, region_runs):
         """The runs of all four seeds are combined, since chance alone moves 0.1 of 200 requests.
 
         Without the limit, 0.67 to 0.79 of the region's requests moved back within 2 s.
         """
         assert find_largest_move(region_runs, "ams", RETURN_REGION).part <= MAX_SHIFT
 
-    def test_it_comes_back(self, region_runs):
+    def test_region_serves_its_requests_again(self, region_runs):
         last = [
             r.region
             for r in region_runs
--- a/halldoor/tests/test_notices_in_release.py
+++ b/halldoor/tests/test_notices_in_release.py
@@ -57,7 +57,7 @@
     )
     fleet.configure(1)
     await fleet.start(within_s=0.1)
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     await asyncio.sleep(5.0)
     fleet.server.slowness = slowness
     loop, latest = asyncio.get_running_loop(), dict.fromkeys(fleet.entries, 0.0)
--- a/halldoor/tests/test_path.py
+++ b/halldoor/tests/test_path.py
@@ -14,13 +14,13 @@
         assert {e["name"] for e in answer["entries"][:2]} == {"b1-e1", "b1-e2"}
         assert answer["max_age_s"] > 0
 
-    def test_read_comes_back_whole(self, two_halls):
+    def test_read_returns_whole_body(self, two_halls):
         response = two_halls.call("a1-e1", f"{SERVICE}/read/x?size=300000&seed=s")
         assert response.status == 200
         assert response.data == make_bytes("s", 300_000)
         assert response.headers["Halldoor-Ran"] == "ran"
 
-    def test_order_by_ticket_through_another_entry(self, two_halls):
+    def test_repeated_order_at_another_entry_returns_first_answer(self, two_halls):
         ticket = two_halls.get_ticket("a1-e1")
         for _ in range(2):
             response = two_halls.call(
@@ -48,10 +48,10 @@
         response = two_halls.call("a1-e1", f"{SERVICE}/upload", method="PUT", body=body)
         assert json.loads(response.data)["sha256"] == sha256(body).hexdigest()
 
-    def test_explain_by_record_at_any_entry(self, two_halls):
+    def test_explain_by_record_or_id_works_at_any_entry(self, two_halls):
         response = two_halls.call("a1-e1", f"{SERVICE}/read/x")
         record = response.headers["Halldoor-Decision-Record"]
-        told = two_halls.get_json("b1-e2", f"/v1/explain?record={record}")
-        assert told["decision"]["id"] == response.headers["Halldoor-Decision"]
-        by_id = two_halls.get_json("b1-e2", f"/v1/explain?id={told['decision']['id']}")
-        assert by_id["sentences"] == told["sentences"]
+        explanation = two_halls.get_json("b1-e2", f"/v1/explain?record={record}")
+        assert explanation["decision"]["id"] == response.headers["Halldoor-Decision"]
+        by_id = two_halls.get_json("b1-e2", f"/v1/explain?id={explanation['decision']['id']}")
+        assert by_id["sentences"] == explanation["sentences"]
--- a/halldoor/tests/test_pause.py
+++ b/halldoor/tests/test_pause.py
@@ -25,7 +25,7 @@
     await fleet.start(within_s=0.5)
     for entry in fleet.entries.values():
         entry.feed.batch_s = BATCH_S
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     await asyncio.sleep(5.0)
     try:
         yield fleet
@@ -43,7 +43,7 @@
     async def check():
         async with open_fleet(entries=10) as fleet:
             fleet.configure(2)
-            await fleet.wait(2)
+            await fleet.wait_until_synchronized(2)
             fleet.configure(3)
             # Half of the pause and a notice use up only a small part of any time bound.
             await asyncio.sleep(BATCH_S / 2)
@@ -58,7 +58,7 @@
     async def check():
         async with open_fleet(entries=10) as fleet:
             fleet.configure(2)
-            await fleet.wait(2)
+            await fleet.wait_until_synchronized(2)
             fleet.configure(3)
             for entry in fleet.entries.values():
                 entry.feed.skip_pause()
--- a/halldoor/tests/test_reading.py
+++ b/halldoor/tests/test_reading.py
@@ -32,7 +32,7 @@
     fleet = StoreFleet(entries=entries, halls=halls, targets=targets, page_items=page_items)
     fleet.configure(1)
     await fleet.start(within_s=0.5)
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     await asyncio.sleep(2 * fleet.settings.direct_s)
     try:
         yield fleet
@@ -83,7 +83,7 @@
 
 async def lose_history(fleet):
     """Cut all watches, and drop the history that they would resume from."""
-    fleet.store.cut()
+    fleet.store.take_down()
     fleet.store.forget_history()
     await asyncio.sleep(0.001)
     fleet.store.is_down = False
@@ -224,7 +224,7 @@
     async def check():
         async with open_fleet(entries=16, halls=2) as fleet:
             readers = [entry for entry in fleet.entries.values() if entry.feed.watches_store]
-            handed, began = fleet.handed_bytes, asyncio.get_running_loop().time()
+            handed, began = fleet.answer_bytes, asyncio.get_running_loop().time()
             drain(fleet, 0)
             fleet.store.remove("targets/t00001")
             await lose_history(fleet)
@@ -233,7 +233,7 @@
                 assert is_draining(entry, 0)
                 assert entry.feed.watches_store == (entry in readers)
             # The size of one of the 3 pages that each follower would have fetched.
-            assert fleet.handed_bytes - handed < 50 * 100 * (16 - len(readers))
+            assert fleet.answer_bytes - handed < 50 * 100 * (16 - len(readers))
             calls = fleet.count_calls(began, began + BOUND_S)
             assert calls["range"] == PAGES * len(readers)
             await asyncio.sleep(2 * BOUND_S)
--- a/halldoor/tests/test_relay.py
+++ b/halldoor/tests/test_relay.py
@@ -365,7 +365,7 @@
 
     def test_all_entries_read_again_after_lost_history(self):
         async def check(fleet):
-            fleet.reader.store.store.cut()
+            fleet.reader.store.store.take_down()
             fleet.configure(2)
             fleet.reader.store.store.forget_history()
             await asyncio.sleep(1.5)
--- a/halldoor/tests/test_room.py
+++ b/halldoor/tests/test_room.py
@@ -96,7 +96,7 @@
             flood.wait_for(100)
             hall.cut("127.0.1.1", "127.0.1.2")
             flood.wait_for(200)
-            hall.heal()
+            hall.end_cuts()
             flood.wait_for(100)
         assert_within_slots(hall)
 
@@ -159,7 +159,7 @@
             flood.wait_for(150)
             assert hall.get_json("a1-e2", "/v1/status")["slots_wait_for"] == ["a1-e1"]
             assert_within_slots(hall)
-            hall.heal()
+            hall.end_cuts()
             wait_until(
                 lambda: not hall.get_json("a1-e2", "/v1/status")["slots_wait_for"],
                 what="slots taken over",
--- a/halldoor/tests/test_standins.py
+++ b/halldoor/tests/test_standins.py
@@ -6,7 +6,7 @@
 from halldoor.standins.sample import IP
 
 
-def test_each_process_listens_on_an_address_of_its_own():
+def test_each_process_has_its_own_loopback_address():
     """Two concurrent test runs opened the same port on one address, and a fleet did not start."""
     code = "from halldoor.standins.sample import IP; print(IP)"
     others = {
--- a/halldoor/tests/test_storefleet.py
+++ b/halldoor/tests/test_storefleet.py
@@ -26,7 +26,7 @@
     )
     fleet.configure(1)
     await fleet.start(within_s=0.1)
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     await asyncio.sleep(0.1)
     try:
         yield fleet
@@ -43,14 +43,14 @@
         ("fault", "arrives_after_s"),
         [({}, 0.035), ({"slow_s": 0.2}, 0.235), ({"loss": 1.0}, None), ({"is_isolated": 1}, None)],
     )
-    def test_they_take_the_way_of_the_network(self, fault, arrives_after_s):
+    def test_delay_and_loss_follow_node_faults(self, fault, arrives_after_s):
         async def check():
             async with open_fleet() as fleet:
-                got = []
+                received = []
                 fleet.entries[4].port.register_receiver(
                     MessageKind.LEAVING,
                     list[LeavingNotice],
-                    lambda message, sender: got.append((now() - began, message, sender)),
+                    lambda message, sender: received.append((now() - began, message, sender)),
                 )
                 for name, value in fault.items():
                     setattr(fleet.nodes[4], name, value)
@@ -58,15 +58,15 @@
                 fleet.entries[1].port.send(MessageKind.LEAVING, NOTICES, Address(IP, 4))
                 await asyncio.sleep(1.0)
                 if arrives_after_s is None:
-                    assert got == []
+                    assert received == []
                 else:
-                    assert got == [(pytest.approx(arrives_after_s), NOTICES, Address(IP, 1))]
+                    assert received == [(pytest.approx(arrives_after_s), NOTICES, Address(IP, 1))]
 
         virtualtime.run(check())
 
 
 class TestSuspension:
-    def test_nothing_runs_on_the_entry_meanwhile(self):
+    def test_suspended_entry_runs_no_task_until_resumed(self):
         async def check():
             async with open_fleet() as fleet:
                 entry = fleet.entries[4]
@@ -83,7 +83,7 @@
 
 
 class TestStoreFaults:
-    def test_watches_hear_nothing_in_a_gap_and_its_history_is_dropped(self):
+    def test_watch_receives_nothing_in_a_gap_and_history_is_dropped(self):
         async def check():
             store = MemoryStore()
             watch = asyncio.ensure_future(store.watch("", after=0, wait_s=9.0))
@@ -101,7 +101,7 @@
         virtualtime.run(check())
 
     @pytest.mark.parametrize(("fault", "takes_s"), [({}, 0.074), ({"slowness": 60.0}, 0.31)])
-    def test_a_call_takes_the_time_of_the_way_and_the_store(self, fault, takes_s):
+    def test_call_takes_network_delay_and_processing_time(self, fault, takes_s):
         async def check():
             async with open_fleet(answer_s=0.004) as fleet:
                 for name, value in fault.items():
@@ -112,7 +112,7 @@
 
         virtualtime.run(check())
 
-    def test_a_store_that_turns_calls_away_answers_so(self):
+    def test_throttled_call_fails_with_429(self):
         async def check():
             async with open_fleet() as fleet:
                 fleet.server.refused = 1.0
@@ -121,7 +121,7 @@
 
         virtualtime.run(check())
 
-    def test_a_watch_whose_connection_is_lost_ends_with_its_time(self):
+    def test_watch_on_lost_connection_fails_at_its_timeout(self):
         async def check():
             async with open_fleet() as fleet:
                 link = fleet.entries[1].link
@@ -137,7 +137,7 @@
 
         virtualtime.run(check())
 
-    def test_the_record_of_a_killed_entry_lapses(self):
+    def test_record_of_killed_entry_expires(self):
         async def check():
             async with open_fleet() as fleet:
                 fleet.entries[1].stop()
--- a/halldoor/tests/test_substitute.py
+++ b/halldoor/tests/test_substitute.py
@@ -17,7 +17,7 @@
 from halldoor.gateway.metrics import GatewayMetrics
 from halldoor.gateway.polls import RelayedChanges
 from halldoor.gateway.substitute import SubstituteReader
-from halldoor.standins.storefleet import NoLog
+from halldoor.standins.storefleet import CountingLog
 
 ENTRIES = 10
 
@@ -50,7 +50,7 @@
         members[0],
         catalog,
         settings=RelaySettings(),
-        log=cast(EventLog, NoLog()),
+        log=cast(EventLog, CountingLog()),
         metrics=GatewayMetrics(),
         open_client=lambda address: PeerClient(address.port in in_contact),
     )
--- a/halldoor/tests/test_suspension.py
+++ b/halldoor/tests/test_suspension.py
@@ -92,7 +92,7 @@
     def test_resumed_entry_serves_while_the_store_is_down(self, suspension):
         async def check():
             async with GatewayKit.open() as kit:
-                kit.store.cut()
+                kit.store.take_down()
                 suspension.suspended_s = 60.0
                 await asyncio.sleep(0.2)
                 await kit.wait(lambda: kit.gateway.is_ready, limit_s=2.0)
@@ -265,7 +265,7 @@
         fleet = StoreFleet(entries=10, halls=2, targets=20)
         fleet.configure(version := 1)
         await fleet.start(within_s=0.5)
-        await fleet.wait(version)
+        await fleet.wait_until_synchronized(version)
         for after_s, for_s, is_restored in suspensions:
             copy = fleet.store.copy()
             await asyncio.sleep(after_s)
@@ -278,10 +278,10 @@
                 relying = [e for e in fleet.entries.values() if uses_cached_state(e)]
                 assert all(e.catalog.configuration_version == version for e in relying)
             if is_down:
-                fleet.store.cut()
+                fleet.store.take_down()
                 await asyncio.sleep(0.5)
                 fleet.store.is_down = False
-        await fleet.wait(version, limit_s=5.0)
+        await fleet.wait_until_synchronized(version, limit_s=5.0)
         fleet.stop()
 
     virtualtime.run(check())
--- a/halldoor/tests/test_withdrawn_during_gap.py
+++ b/halldoor/tests/test_withdrawn_during_gap.py
@@ -58,7 +58,7 @@
     fleet = StoreFleet(entries=entries, halls=halls, targets=2)
     fleet.configure(1)
     await fleet.start(within_s=0.1)
-    await fleet.wait(1)
+    await fleet.wait_until_synchronized(1)
     await asyncio.sleep(2 * fleet.settings.direct_s)
     try:
         yield fleet
@@ -147,7 +147,7 @@
         async def check():
             async with open_fleet(entries=entries) as fleet:
                 with send_requests(fleet.entries[1]) as callers:
-                    fleet.cut(1, 5.0)
+                    fleet.cut_off_from_store(1, 5.0)
                     await asyncio.sleep(1.0)
                     removed_at = asyncio.get_running_loop().time()
                     fleet.store.remove(f"targets/{WITHDRAWN}")
@@ -161,13 +161,13 @@
         async def check():
             async with open_fleet(entries=2) as fleet:
                 entry = fleet.entries[1]
-                fleet.cut(1, 5.0)
+                fleet.cut_off_from_store(1, 5.0)
                 entry.sync.restart_watch("the link is cut")
                 await asyncio.sleep(0.1)
                 fleet.store.remove(f"targets/{WITHDRAWN}")
                 fleet.store.forget_history()
                 # The new process has no history from which the entry could continue.
-                fleet.replace(2)
+                fleet.restart_entry(2)
                 # After the cut it reads the store; until then it can't know of the removal.
                 await asyncio.sleep(5.0 + RETRY_S)
                 async with asyncio.timeout(fleet.settings.bound_s):
@@ -199,7 +199,7 @@
     def test_targets_whose_records_come_back_are_kept(self, entries, has_history):
         async def check():
             async with open_fleet(entries=entries) as fleet:
-                fleet.store.cut()
+                fleet.store.take_down()
                 await asyncio.sleep(OUTAGE_S - 0.1)
                 remove_records(fleet)
                 if not has_history:
@@ -219,7 +219,7 @@
         async def check():
             async with open_fleet(entries=entries) as fleet:
                 with send_requests(fleet.entries[1]) as callers:
-                    fleet.store.cut()
+                    fleet.store.take_down()
                     await asyncio.sleep(OUTAGE_S)
                     remove_records(fleet)
                     fleet.store.is_down = False
@@ -239,14 +239,14 @@
         async def check():
             async with open_fleet(entries=1) as fleet:
                 (entry,) = fleet.entries.values()
-                fleet.store.cut()
+                fleet.store.take_down()
                 await asyncio.sleep(OUTAGE_S)
                 fleet.store.is_down = False
                 fleet.configure(2)
-                await fleet.wait(2)
+                await fleet.wait_until_synchronized(2)
                 fleet.store.remove(f"targets/{WITHDRAWN}")
                 fleet.configure(3)
-                await fleet.wait(3)
+                await fleet.wait_until_synchronized(3)
                 assert entry.catalog.find_target(WITHDRAWN) is None
 
         virtualtime.run(check())
@@ -255,7 +255,7 @@
         async def check():
             async with open_fleet(entries=1) as fleet:
                 with send_requests(fleet.entries[1]) as callers:
-                    fleet.store.cut()
+                    fleet.store.take_down()
                     await asyncio.sleep(2.3)
                     fleet.store.remove(f"targets/{WITHDRAWN}")
                     fleet.store.is_down = False
@@ -269,11 +269,11 @@
     def test_short_store_return_does_not_end_outage(self):
         async def check():
             async with open_fleet(entries=2) as fleet:
-                fleet.store.cut()
+                fleet.store.take_down()
                 await asyncio.sleep(2.5)
                 fleet.store.is_down = False
                 await asyncio.sleep(0.5)
-                fleet.store.cut()
+                fleet.store.take_down()
                 await asyncio.sleep(2.5)
                 remove_records(fleet)
                 fleet.store.is_down = False
--- a/properties/test_lapses.py
+++ b/properties/test_lapses.py
@@ -95,12 +95,12 @@
         fleet = StoreFleet(entries=entries, halls=1, targets=len(removals))
         fleet.configure(1)
         await fleet.start(within_s=0.1)
-        await fleet.wait(1)
+        await fleet.wait_until_synchronized(1)
         await asyncio.sleep(2 * fleet.settings.direct_s)
         loop = asyncio.get_running_loop()
         for port, at, for_s in cuts:
             if port < entries:
-                loop.call_later(at, fleet.cut, port, for_s)
+                loop.call_later(at, fleet.cut_off_from_store, port, for_s)
         for at in losses:
             loop.call_later(at, fleet.store.forget_history)
         for i, at in enumerate(removals):
--- a/properties/test_quarantine.py
+++ b/properties/test_quarantine.py
@@ -12,7 +12,7 @@
 from halldoor.core.quarantine.evidence import CrashHistory, Evidence, TargetCrash
 from halldoor.core.quarantine.record import from_record, to_record
 from halldoor.core.quarantine.settings import QuarantineSettings
-from halldoor.standins.crashfleet import Fleet, Run, Trouble
+from halldoor.standins.crashfleet import Faults, Fleet, Run
 from halldoor.standins.crashways import CollectorsAndRecord
 
 LATE_SENDS = 3
@@ -71,7 +71,7 @@
 
 
 TROUBLES = st.builds(
-    Trouble,
+    Faults,
     loss=st.sampled_from([0.0, 0.05, 0.2]),
     delay_s=st.sampled_from([0.002, 0.013, 0.04]),
     cut_s=st.sampled_from([(99.0, 99.0), (0.0, 4.0), (0.0, 12.0), (0.3, 12.0)]),
@@ -93,12 +93,12 @@
         trouble = trouble._replace(away_s=(99.0, 99.0))
     run = Run(Fleet(entries=entries, bad_per_s=rate), trouble, seed=seed)
     run.play(CollectorsAndRecord(), until_s=14.0)
-    assert run.count_late() <= LATE_SENDS
+    assert run.count_late_sends() <= LATE_SENDS
 
 
 @settings(max_examples=15)
 @given(entries=st.sampled_from([6, 10, 75]), seed=st.integers(0, 1000))
 def test_harmless_request_is_hardly_refused_when_targets_crash(entries, seed):
     fleet = Fleet(entries=entries, bad_per_s=0.0, popular_per_s=8.0, ends_per_s=1.2)
-    run = Run(fleet, Trouble(), seed=seed).play(CollectorsAndRecord(), until_s=25.0)
+    run = Run(fleet, Faults(), seed=seed).play(CollectorsAndRecord(), until_s=25.0)
     assert run.refused <= 0.02 * (run.served + run.refused + run.lost)
