--- a/halldoor/core/explaining/history.py
+++ b/halldoor/core/explaining/history.py
@@ -155,7 +155,10 @@
             yield f"No collector had answered recently: this entry admits {percent} of the quota."
         else:
             age_ms = f"{1000 * fields['quota_age_s']:.0f} ms"
-            yield f"All entries admit {percent} of its requests, by an answer {age_ms} before."
+            yield (
+                f"All entries admit {percent} of its requests, "
+                f"by a collector's answer {age_ms} before."
+            )
 
 
 def _describe_attempt(attempt: dict[str, Any]) -> str:
--- a/halldoor/core/teams/admission.py
+++ b/halldoor/core/teams/admission.py
@@ -157,10 +157,8 @@
             Value of its ``Authorization`` header.
         gate : QuotaGate
             Quotas at this entry.
-        now : float
-            Monotonic time, in seconds.
-        age_s : float
-            Age of the last contact with the store, in seconds.
+        now, age_s : float
+            Monotonic time and age of the last contact with the store, in seconds.
         entries : int
             Number of entries that share the quotas.
         settings : AccessSettings
--- a/halldoor/gateway/relay.py
+++ b/halldoor/gateway/relay.py
@@ -203,11 +203,9 @@
         if self._is_reader:
             wait_s = self.settings.find_watch_s(is_after_changes=self._had_changes)
         elif self._reader is not None:
-            # Returns in time to follow a reader again.
-            wait_s = self.settings.direct_s
+            wait_s = self.settings.direct_s  # Returns in time to follow a reader again.
         if not self.has_contact:
-            # Returns in time to look for a substitute again.
-            wait_s = min(wait_s, self.settings.direct_s)
+            wait_s = min(wait_s, self.settings.direct_s)  # Then looks for a substitute again.
         if not self._has_watched:
             wait_s = min(wait_s, self.settings.resume_s)
         sent_at = _now()
@@ -216,10 +214,7 @@
         self._has_watched = True
         self._metrics.add_store_call("watch", "events" if events.items else "quiet")
         proven_at = compute_watch_proof(
-            sent_at=sent_at,
-            wait_s=wait_s,
-            returned_at=_now(),
-            has_changes=bool(events.items),
+            sent_at=sent_at, wait_s=wait_s, returned_at=_now(), has_changes=bool(events.items)
         )
         return Update(events, proven_at)
 
@@ -289,7 +284,12 @@
         except ReaderLostError as exc:
             self._metrics.add_relay_loss()
             cause = str(exc)
-            self._log.event("relay", "Can't get the records.", reader=reader.name, cause=cause)
+            self._log.event(
+                "relay",
+                "Can't get the records from a reader; reads the store.",
+                reader=reader.name,
+                cause=cause,
+            )
             self._direct_until = self._no_handover_until = _now() + self.settings.direct_s
             return None
         finally:
