--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -19,7 +19,10 @@
 
 
 def time_rounds(prepare: Callable[[], None], work: Callable[[], None]) -> float:
-    """Return the processor time of ``work`` in ms for each key, in the fastest round."""
+    """Return the processor time of ``work`` in ms for each key, in the fastest round.
+
+    ``prepare`` runs before each round and is not timed.
+    """
     best = float("inf")
     for _ in range(ROUNDS):
         prepare()
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -40,7 +40,7 @@
 
 
 def run_team(way: type[QuotaStrategy], entries: int, rate: float, pattern: str, seed: int) -> Run:
-    """Run one team under a load pattern."""
+    """Simulate the requests of one team under a load pattern, with one way to enforce its quota."""
     factor, used_share = PATTERNS[pattern]
     weights = None
     if used_share is not None:
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -59,6 +59,13 @@
     """Return the row of one way to back off and resume, with the worst of the seeds.
 
     The shares of requests that were sent are means over the seeds.
+
+    Parameters
+    ----------
+    need, trouble, way : str
+        Keys of `NEEDS`, `TROUBLES` and `WAYS`.
+    entries : int
+        Number of entries.
     """
     bound = Bound(ASKED_PER_S, 1.0, 0.0, 1.0)
     ways = [WAYS[way](NEEDS[need]) for _ in SEEDS]
--- a/halldoor/admin/service.py
+++ b/halldoor/admin/service.py
@@ -78,7 +78,7 @@
     def shift(
         self, team: Team, name: str, verb: str, *, position: float | None, change_id: str
     ) -> Outcome:
-        """Start, step, pause or revert a shift."""
+        """Start, step, pause or revert a shift, a planned move of a share of a service's load."""
         change = Change(change_id, team.name, f"shift {verb} {name}")
         return self._commit(
             team,
--- a/halldoor/standins/crashfleet.py
+++ b/halldoor/standins/crashfleet.py
@@ -248,7 +248,7 @@
         self.start(self.run)
 
     def record_answer(self, now: float, entry: int, digest: str) -> None:
-        """Record that an entry received an answer to a request."""
+        """Record that an entry received an answer to a request; ignored by default."""
         return
 
     @abstractmethod
--- a/halldoor/standins/crashways.py
+++ b/halldoor/standins/crashways.py
@@ -14,6 +14,7 @@
 
 SETTINGS = QuarantineSettings()
 CALLER = "c"
+"""Caller of every request."""
 WATCH_S = (0.05, 1.2)
 """Shortest and longest time until an entry receives a change of the store, in seconds."""
 STORE_S = 0.02
--- a/halldoor/standins/modelentry.py
+++ b/halldoor/standins/modelentry.py
@@ -126,7 +126,7 @@
 
 
 class Component(Protocol):
-    """A component of an entry that runs as a task."""
+    """Interface of an entry's components, such as the sender of notices; each runs as a task."""
 
     def run(self) -> Coroutine[Any, Any, None]:
         """Run until cancelled."""
--- a/halldoor/standins/modelnetwork.py
+++ b/halldoor/standins/modelnetwork.py
@@ -170,6 +170,7 @@
     def throw(self, *error: Any) -> Any:
         """Raise an error in the inner coroutine."""
         if not self._has_started:
+            # An error thrown into an unstarted `_run` doesn't reach the inner coroutine.
             self._inner.close()
         return self._steps.throw(*error)
 
--- a/halldoor/standins/moves.py
+++ b/halldoor/standins/moves.py
@@ -14,7 +14,7 @@
 SLIDE_S = 0.25
 """Distance between the starts of successive pairs of windows, in seconds."""
 DISRUPTED_S = 4.0
-"""Time around a disruption in which moves are ignored, in seconds."""
+"""Time before and after a disruption in which moves are ignored, in seconds."""
 
 
 class Move(NamedTuple):
@@ -33,8 +33,9 @@
 
 
 def list_moves(runs: Sequence[Run], origin: str, pattern: Pattern) -> list[Move]:
-    """List the move of a region's requests for each pair of adjacent windows.
+    """List the changes of the regions that ran a region's requests, from window to window.
 
+    There is one move for each pair of adjacent windows of `WINDOW_S`, at steps of `SLIDE_S`.
     Pairs that begin within `DISRUPTED_S` of a disruption, or contain one, are left out.
     """
     moves = []
@@ -53,7 +54,7 @@
 
 
 def find_largest_move(runs: Sequence[Run], origin: str, pattern: Pattern) -> Move:
-    """Return the largest move of a region's requests outside disruptions."""
+    """Return the largest move of a region's requests between adjacent undisrupted windows."""
     return max(list_moves(runs, origin, pattern))
 
 
--- a/halldoor/standins/ratefleet.py
+++ b/halldoor/standins/ratefleet.py
@@ -257,7 +257,7 @@
     """Each entry has a token bucket with an equal share of the rate and a burst of one."""
 
     def restart(self, now: float) -> None:
-        """Reset each bucket to a random fraction of a token."""
+        """Reset each bucket to a random fraction of a token, so that not all fill at once."""
         self._levels = [(self.run.random.random(), now) for _ in self.run.names]
 
     def admit(self, now: float, entry: int) -> bool:
--- a/halldoor/standins/restways.py
+++ b/halldoor/standins/restways.py
@@ -146,28 +146,28 @@
     """After a back-off each entry sends one request at a time until one succeeds."""
 
     def restart(self, now: float) -> None:
-        """Reset the back-offs of all entries."""
+        """Reset the back-offs and trials of all entries."""
         super().restart(now)
         self._on_trial = [False] * len(self.run.names)
         self._in_flight: Counter[int] = Counter()
 
     def _receive_refusal(self, now: float, entry: int) -> None:
-        """Receive a refusal, and start or extend the entry's back-off."""
+        """Start or extend the back-off, after which the entry sends one request at a time."""
         super()._receive_refusal(now, entry)
         self._on_trial[entry] = True
         self._in_flight[entry] -= 1
 
     def receive_success(self, now: float, entry: int) -> None:
-        """Receive a successful answer."""
+        """Lift the limit of one request at a time after a successful answer."""
         self._on_trial[entry] = False
         self._in_flight[entry] -= 1
 
     def can_send(self, now: float, entry: int) -> bool:
-        """Check whether the strategy allows a request after the back-off."""
+        """Check that no trial is in flight; entries not on trial may always send."""
         return not (self._on_trial[entry] and self._in_flight[entry] > 0)
 
     def record_sent(self, now: float, entry: int) -> None:
-        """Record a sent request."""
+        """Count the request as in flight."""
         self._in_flight[entry] += 1
 
     def count_in_flight(self, entry: int) -> int:
--- a/halldoor/standins/soak.py
+++ b/halldoor/standins/soak.py
@@ -45,7 +45,7 @@
         self.violations: list[str] = []
         self._lock = threading.Lock()
         self._is_over = threading.Event()
-        # Answers in `Halldoor-Ran` that callers received, by operation id.
+        # Values of the `Halldoor-Ran` header in the answers to callers, by operation id.
         self._reported_runs: dict[str, set[str]] = {}
         self.names = [e["name"] for h in fleet.configuration["halls"] for e in h["entries"]]
         self.targets = [t["name"] for t in fleet.configuration["targets"]]
--- a/halldoor/standins/storefaults.py
+++ b/halldoor/standins/storefaults.py
@@ -82,7 +82,7 @@
 
 
 def _change_another_target(context: FaultContext) -> None:
-    """Write an unrelated target record: entries pause after reading a change."""
+    """Write an unrelated target record, since entries pause after reading a change."""
     fleet = context.fleet
     fleet.write_target(fleet.targets - 1, "h0", slots=context.random.randrange(7, 10_000))
 
@@ -115,7 +115,7 @@
 
 
 def _suspend_entries(context: FaultContext) -> None:
-    """Suspend some entries."""
+    """Suspend some entries for `SPAN_S` seconds."""
     for port in _choose_entries(context):
         context.fleet.nodes[port].suspend(SPAN_S)
 
--- a/halldoor/tests/test_choice.py
+++ b/halldoor/tests/test_choice.py
@@ -69,6 +69,8 @@
 
 
 class TestBounds:
+    """Tests of the limits on an entry's requests to a target, and on requests between regions."""
+
     def test_shares_of_all_entries_add_up_to_load_factor(self):
         members = tuple(f"e{i}" for i in range(5))
         catalog = make_catalog(1, members=members)
--- a/halldoor/tests/test_rate_shares.py
+++ b/halldoor/tests/test_rate_shares.py
@@ -21,7 +21,7 @@
     """Return each entry's catalog and its `TargetRates`."""
     catalogs = {name: make_catalog(targets=1, members=names) for name in names}
     for catalog in catalogs.values():
-        catalog.count_sharers(0.0)  # The entries started long before the test.
+        catalog.count_sharers(0.0)  # A start at 0 s is long before the test.
     rates = {
         name: TargetRates(c, EntryRanks(c, name), LimitTable(name), BackoffTable(), {})
         for name, c in catalogs.items()
--- a/halldoor/tests/test_requested_rest.py
+++ b/halldoor/tests/test_requested_rest.py
@@ -1,4 +1,4 @@
-"""Tests of rests: pauses in which an entry sends nothing to a target that requested them."""
+"""Tests of rests: the back-offs that targets request from entries with ``Retry-After``."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 GRACE_S = 0.5
 """Time within which requests already sent may still arrive, in seconds."""
 MOST_IN_REST = 2
-"""Greatest number of requests of one entry that may reach a target within a rest."""
+"""Greatest number of requests of one entry that may reach a target within a back-off."""
 
 
 def reject_with_retry_after(targets, text):
@@ -30,7 +30,7 @@
 
 
 def find_greatest_count_in_rest(target, rest_s=REST_S):
-    """Return the greatest number of requests of one entry within a rest requested from it."""
+    """Return the greatest number of requests of one entry within a back-off requested from it."""
     return max(
         (
             sum(entry == e and at + GRACE_S < t < at + rest_s for t, e in target.arrivals)
@@ -100,7 +100,7 @@
 
 
 class TestReading:
-    WALL_S = 1_445_412_420.0  # 7:27 of the day below.
+    WALL_S = 1_445_412_420.0  # Wed, 21 Oct 2015 07:27:00 GMT, the time of parsing.
 
     @pytest.mark.parametrize(
         ("value", "rest_s"),
@@ -161,6 +161,7 @@
 
     @pytest.mark.parametrize("rest_s", [40.0, 600.0, 3600.0])
     def test_target_with_repeated_rests_receives_two_requests_in_each(self, rest_s):
+        """A target that requests a new back-off in each answer must not be overloaded by trials."""
         table = BackoffTable()
         table.add(self.START, rest_s, 0.0)
         sent = [0.0, *self.send_when_allowed(table, range(8000), is_sound=False, rest_s=rest_s)]
--- a/halldoor/tests/test_withdrawals.py
+++ b/halldoor/tests/test_withdrawals.py
@@ -37,12 +37,14 @@
 
 
 def build(*lines):
+    """Return the report on log lines, after a start of each entry."""
     started = [make_line(entry, 0.0, "process: Started.") for entry in STARTS]
     dated = sorted([*started, *lines], key=lambda line: line[0])
     return build_report(parse_lines(text for _, text in dated))
 
 
 def list_withdrawals(*lines):
+    """Return the withdrawals in the report on log lines."""
     return build(*lines).withdrawals
 
 
--- a/properties/test_quarantine.py
+++ b/properties/test_quarantine.py
@@ -88,7 +88,8 @@
     seed=st.integers(0, 1000),
 )
 def test_all_entries_stop_sending_a_crashing_request_in_time(entries, rate, trouble, seed):
-    # Messages and the store don't fail at the same time: entries would have no way to learn.
+    # Messages and the store don't fail at the same time: entries couldn't learn of crashes
+    # that others saw.
     if trouble.cut_s[0] < 99.0:
         trouble = trouble._replace(away_s=(99.0, 99.0))
     run = Run(Fleet(entries=entries, bad_per_s=rate), trouble, seed=seed)
--- a/properties/test_slots.py
+++ b/properties/test_slots.py
@@ -31,14 +31,17 @@
         self.running = []
 
     def clock(self, name):
+        """Return the time on an entry's clock, which drifts from the true time."""
         return self.now * self.drift[name]
 
     def start_process(self, name, *, rest):
+        """Start an entry with an empty slot table and the newest roster."""
         self.tables[name] = SlotTable(name)
         self.adopted[name] = 0
         self.adopt(name, rest=rest)
 
     def adopt(self, name, rest=None):
+        """Apply the newest roster at an entry; `rest` maps slots to their rests in seconds."""
         self.adopted[name] = len(self.rosters) - 1
         self.tables[name].set_roster(
             SLOTS,
@@ -55,6 +58,7 @@
 
     @rule(name=st.sampled_from(NAMES), where=st.sampled_from(sorted(SLOTS)))
     def acquire(self, name, where):
+        """Acquire one of an entry's own slots at a target."""
         now = self.clock(name)
         hold = self.tables[name].acquire(where, now=now, until=now + LONGEST_S)
         if hold:
@@ -67,6 +71,7 @@
         delay=st.sampled_from([0.0, 0.3]),
     )
     def borrow(self, lender, borrower, where, delay):
+        """Borrow a slot from another entry, whose answer arrives after a delay."""
         if lender == borrower:
             return
         until = self.clock(borrower) + LONGEST_S
@@ -97,6 +102,7 @@
         self.send_last(borrower)
 
     def send_last(self, name):
+        """Send a request on the newest slot that an entry holds, if it holds any."""
         if self.holds[name]:
             self.send_hold(name, *self.holds[name].pop())
 
@@ -109,6 +115,7 @@
         self.send_hold(name, *self.holds[name].pop(index))
 
     def send_hold(self, name, hold, until):
+        """Send a request on a held slot unless the hold has expired by the entry's clock."""
         until = hold.until if until is None else until
         if self.clock(name) < until:
             left = (until - self.clock(name)) / self.drift[name]
