--- a/halldoor/core/teams/admission.py
+++ b/halldoor/core/teams/admission.py
@@ -151,10 +151,8 @@
 
         Parameters
         ----------
-        host, path : str
-            Host and path that the request asks for.
-        credentials : bytes
-            Value of its ``Authorization`` header.
+        host, path, credentials : str, str, bytes
+            Host and path that the request asks for, and its ``Authorization`` header's value.
         gate : QuotaGate
             Quotas at this entry.
         now, age_s : float
