--- a/halldoor/core/teams/admission.py
+++ b/halldoor/core/teams/admission.py
@@ -151,16 +151,12 @@
 
         Parameters
         ----------
-        host, path : str
-            Host and path that the request asks for.
-        credentials : bytes
-            Value of its ``Authorization`` header.
+        host, path, credentials : str, str, bytes
+            Host and path that the request asks for, and its ``Authorization`` header's value.
         gate : QuotaGate
             Quotas at this entry.
-        now : float
-            Monotonic time, in seconds.
-        age_s : float
-            Age of the last contact with the store, in seconds.
+        now, age_s : float
+            Monotonic time and age of the last contact with the store, in seconds.
         entries : int
             Number of entries that share the quotas.
         settings : AccessSettings
