--- a/halldoor/cli/operator.py
+++ b/halldoor/cli/operator.py
@@ -385,7 +385,7 @@
     if not sentences:
         _fail(
             BAD_INPUT,
-            f"No log line has {attempt_id}. Search the logs of all entries in the caller's region; "
+            f"No log line has {attempt_id}. Search the logs of every entry in the caller's region; "
             "of successful requests only a sample is logged.",
         )
     _print(output, {"sentences": sentences}, lambda: sentences)
