--- a/halldoor/standins/patterns.py
+++ b/halldoor/standins/patterns.py
@@ -113,7 +113,9 @@
             raise ValueError("no hall has callers")
         unknown = {e.hall for e in self.evacuations} - self.halls.keys()
         if unknown:
-            raise ValueError(f"evacuations name unknown halls: {', '.join(sorted(unknown))}")
+            raise ValueError(
+                f"evacuations name no hall of this pattern: {', '.join(sorted(unknown))}"
+            )
 
     def get_rate(self, now: float) -> float:
         """Return the request rate at a time, in requests a second."""
--- a/halldoor/wire/protocol.py
+++ b/halldoor/wire/protocol.py
@@ -175,7 +175,7 @@
         name, kind, received_sequence = protocol.read_message_begin()
         if (name, received_sequence) != (method, sequence):
             raise PeerError(
-                f"Received a reply to {name} #{received_sequence} instead of {method} #{sequence}.",
+                f"A reply to {name} #{received_sequence} came for {method} #{sequence}.",
                 remedy="The connection is closed; the caller may retry.",
             )
         if kind == TMessageType.EXCEPTION:
