--- a/halldoor/core/targets/outlier.py
+++ b/halldoor/core/targets/outlier.py
@@ -82,6 +82,13 @@
         self._ejected: dict[str, float] = {}
         self._service_average_s: dict[str, float] = {}
 
+    def add_untimed_success(self, target: str) -> None:
+        """Record a successful answer whose duration is unknown."""
+        results = self._results.setdefault(target, _Results())
+        results.pause_doublings = 0
+        results.failures = 0.0
+        results.ejections = 0
+
     def add_success(self, target: str, service: str, took_s: float, now: float) -> bool:
         """Record a successful answer; True if the target is ejected because it is too slow."""
         results = self._results.setdefault(target, _Results())
--- a/halldoor/gateway/feedback.py
+++ b/halldoor/gateway/feedback.py
@@ -31,6 +31,7 @@
 )
 from halldoor.gateway.headers import HeaderNames, Headers, find
 from halldoor.gateway.pool import TargetPool
+from halldoor.gateway.stalls import StallMeter
 
 StatementReceiver = Callable[[Target, TargetStatement, float], None]
 
@@ -38,6 +39,8 @@
 """Lowest status that counts as a failure of the target."""
 GATEWAY_TIMEOUT = 504
 """Status with which a target reports that the deadline passed."""
+STALLED_SHARE = 0.5
+"""Share of an attempt in which this process was stalled from which its duration says nothing."""
 
 
 class SentAttempt(NamedTuple):
@@ -49,11 +52,14 @@
         Kind of request; requests of one kind have similar latencies on all targets.
     key : str
         Affinity key of the request; empty if it has none.
+    stalled_s : float
+        Sum of this process's stalls when it was sent, in seconds.
     """
 
     choice: Choice
     kind: str
     key: str
+    stalled_s: float
 
 
 class TargetFeedback:
@@ -67,6 +73,8 @@
         Connections to targets.
     names : HeaderNames
         Header names that targets use.
+    stalls : StallMeter
+        Measures the time in which this process did not run, which no target is ejected for.
 
     Attributes
     ----------
@@ -88,6 +96,7 @@
         latency: LatencyModel,
         pool: TargetPool,
         names: HeaderNames,
+        stalls: StallMeter,
         log: EventLog,
     ) -> None:
         self._catalog = catalog
@@ -97,6 +106,7 @@
         self._latency = latency
         self._pool = pool
         self._names = names
+        self._stalls = stalls
         self._log = log
         self.on_observation: Callable[[Observation], None] | None = None
         self.on_statement: list[StatementReceiver] = []
@@ -128,6 +138,10 @@
         for apply_statement in self.on_any_statement:
             apply_statement(target, statement, now)
 
+    def measure_stalls(self, now: float) -> float:
+        """Return the sum of this process's stalls so far, in seconds."""
+        return self._stalls.measure(now)
+
     def add_outcome(
         self,
         sent: SentAttempt,
@@ -140,13 +154,16 @@
         """Update the models by one attempt; return its result and a detail for the log."""
         target = sent.choice.target
         name = target.name
+        stalled_s = self._stalls.measure(now) - sent.stalled_s
+        is_own_delay = stalled_s > STALLED_SHARE * took_s
         if connecting.took_s and not connecting.is_reused:
             self._latency.add_connect(target.record.hall, connecting.took_s)
         if isinstance(outcome, WholeAnswer | PartialAnswer):
             self._add_load(target, outcome, now)
         match outcome:
             case WholeAnswer(answer) if answer.status < SERVER_ERROR:
-                self._add_success(sent, now, took_s=took_s, connect_s=connecting.took_s)
+                self._add_latency(sent, took_s - connecting.took_s)
+                self._check_slowness(target, None if is_own_delay else took_s - stalled_s, now)
                 self._report_observation(sent, answer, took_s=took_s - connecting.took_s)
                 return AttemptResult.ANSWERED, str(answer.status)
             case WholeAnswer(answer):
@@ -161,8 +178,9 @@
                 else:
                     self._outliers.add_shed(name, now)
                 return AttemptResult.NOT_RUN, str(status)
-            case ConnectFailed(detail):
-                self.add_failure(name, now, detail, is_unreachable=True)
+            case ConnectFailed(detail, is_refused):
+                if is_refused or not is_own_delay:
+                    self.add_failure(name, now, detail, is_unreachable=True)
                 return AttemptResult.NOT_REACHED, detail
             case NotSent():
                 return AttemptResult.NOT_REACHED, "no time left"
@@ -172,25 +190,35 @@
                 self.add_failure(name, now, detail)
                 return AttemptResult.ANSWER_LOST, detail
             case TimedOut():
-                self.add_failure(name, now, "no answer in time", is_slow=True)
+                if not is_own_delay:
+                    self.add_failure(name, now, "no answer in time", is_slow=True)
                 return AttemptResult.TIMED_OUT, ""
             case BodyFailed(detail):
                 return AttemptResult.BODY_FAILED, detail
 
-    def _add_success(
-        self, sent: SentAttempt, now: float, *, took_s: float, connect_s: float
-    ) -> None:
-        """Update latency and outlier models by the duration of a successful answer."""
+    def _add_latency(self, sent: SentAttempt, took_s: float) -> None:
+        """Update the latency model by the duration of a successful answer."""
         target = sent.choice.target
         self._latency.add_answer(
             sent.kind,
             target.name,
             target.record.hall,
             sent.key,
-            took_s=took_s - connect_s,
+            took_s=took_s,
             has_waited=sent.choice.estimate.wait_s > 0,
         )
-        if self._outliers.add_success(target.name, target.record.service, took_s, now):
+
+    def _check_slowness(self, target: Target, took_s: float | None, now: float) -> None:
+        """Eject a target if its successful answers take much longer than its service's.
+
+        Parameters
+        ----------
+        took_s : float or None
+            Duration of an answer; None if it is unknown because this process was stalled.
+        """
+        if took_s is None:
+            self._outliers.add_untimed_success(target.name)
+        elif self._outliers.add_success(target.name, target.record.service, took_s, now):
             self._log.event("targets", "Ejected a slow target.", target=target.name)
 
     def _report_observation(self, sent: SentAttempt, answer: Answer, *, took_s: float) -> None:
--- a/halldoor/gateway/process.py
+++ b/halldoor/gateway/process.py
@@ -37,6 +37,7 @@
 from halldoor.gateway.request import RequestHandler
 from halldoor.gateway.retries import RetryGate
 from halldoor.gateway.settings import LIVE_SETTINGS, GatewaySettings
+from halldoor.gateway.stalls import StallMeter
 from halldoor.gateway.store import MetadataStore, RecordCodec
 from halldoor.gateway.storenotices import StoreNoticeExchange
 from halldoor.gateway.sync import StoreSync
@@ -115,6 +116,7 @@
         settings = self.settings
         outliers = OutlierTable(settings.outliers)
         loads, latency = LoadTable(), LatencyModel()
+        self.stalls = StallMeter()
         self.travel = RoundTripProbe(self.member, self.catalog, latency, log=self.log)
         self.chooser = Chooser(
             self.catalog,
@@ -135,6 +137,7 @@
             latency=latency,
             pool=self.pool,
             names=names,
+            stalls=self.stalls,
             log=self.log,
         )
         flows = RegionFlowCounter(
@@ -308,6 +311,7 @@
         parts = (
             self.sync.run(),
             self.maintenance.run(),
+            self.stalls.run(),
             self.travel.run(),
             self.quotas.run(),
             *self.exchanges.list_coroutines(),
--- a/halldoor/gateway/request.py
+++ b/halldoor/gateway/request.py
@@ -225,6 +225,8 @@
         target, name = choice.target, choice.target.name
         started = loop.time()
         view = self._build_target_view(choice, state.key, started)
+        kind = name_kind(state.service, state.route)
+        sent = SentAttempt(choice, kind, state.key, self._feedback.measure_stalls(started))
         self._flows.add(state.route, choice, started, is_retry=bool(state.attempts))
         try:
             outcome, connecting = await self._exchanger.send(outgoing, name, target.record.address)
@@ -238,7 +240,6 @@
         now = loop.time()
         took_s = now - started
         statement = self._feedback.read_statement(target, *get_answer_head(outcome), now)
-        sent = SentAttempt(choice, name_kind(state.service, state.route), state.key)
         result, detail = self._feedback.add_outcome(sent, outcome, connecting, now, took_s=took_s)
         state.attempts.append(
             Attempt(
--- a/halldoor/tests/test_outlier.py
+++ b/halldoor/tests/test_outlier.py
@@ -40,6 +40,13 @@
         table.add_success("t1", "deck", 0.1, 2.0)
         assert not table.is_on_trial("t1")
 
+    def test_answer_of_unknown_duration_ends_the_trial(self):
+        table = OutlierTable()
+        table.add_failure("t1", 0.0, is_unreachable=True)
+        table.add_untimed_success("t1")
+        assert not table.is_on_trial("t1")
+        assert not table.add_failure("t1", 3.0)
+
 
 class TestSlowTargets:
     def test_a_target_much_slower_than_its_service_is_ejected(self):
