--- a/halldoor/tests/ratekit.py
+++ b/halldoor/tests/ratekit.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import random
+from collections import Counter
 
 from halldoor.core.settings import Address
 from halldoor.core.targets.catalog import CatalogTimings
@@ -17,6 +18,7 @@
 from halldoor.tests.gatewaykit import NAMES, GatewayKit
 
 WORK_S = 0.03
+KEYS = 50
 
 
 class StoreLink(MetadataStore):
@@ -144,6 +146,8 @@
         Time, entry and status of each answer.
     refusals : list of tuple
         Time and Retry-After in seconds of each answer with status 503.
+    stated_at : dict of str to float
+        Time at which each entry's callers first had an answer of a leaving target, by entry.
     """
 
     def __init__(self, *, entries, targets, seed=1, **service):
@@ -156,6 +160,7 @@
         self.links = []
         self.statuses = []
         self.refusals = []
+        self.stated_at = {}
         self._tasks = set()
         self._stack = contextlib.AsyncExitStack()
 
@@ -233,12 +238,45 @@
             await asyncio.sleep(self.random.expovariate(per_s))
         await asyncio.sleep(2 * WORK_S)
 
-    async def _call(self, entry):
-        key = str(self.random.randrange(50))
-        extra = [("x-entry", f"e{entry}")]
+    async def finish_requests(self):
+        """Wait until all requests of `send_requests` are answered."""
+        while self._tasks:
+            await asyncio.wait(self._tasks)
+
+    async def send_until_stated(self, leaving):
+        """Send each entry requests until its callers have an answer of a leaving target.
+
+        All entries send a key to the same target, so the first key suffices unless that target is
+        busy.  Keys that the target served before come first.
+        """
+        served = Counter(find(r.headers, NAMES.affinity_key) for r in leaving.received)
+        for key in sorted(map(str, range(KEYS)), key=lambda key: -served[key.encode()]):
+            unaware = [i for i in range(self.entries) if f"e{i}" not in self.stated_at]
+            if not unaware:
+                return
+            await asyncio.gather(*(self._call(i, key) for i in unaware))
+
+    def list_sent_after_statement(self, target):
+        """List the entries that sent a target requests which arrived at them after its statement.
+
+        An entry has received the statement once its callers have the answer that carries it, so
+        this doesn't depend on the rate of requests or on delays of the loop.
+        """
+        requests = [r for r in target.received if r.target != b"/health"]
+        sent = [
+            (find(r.headers, b"x-entry").decode(), float(find(r.headers, b"x-sent")))
+            for r in requests
+        ]
+        return [entry for entry, at in sent if at > self.stated_at.get(entry, at)]
+
+    async def _call(self, entry, key=None):
+        key = str(self.random.randrange(KEYS)) if key is None else key
+        extra = [("x-entry", f"e{entry}"), ("x-sent", repr(self.now()))]
         with contextlib.suppress(OSError, TimeoutError):
             reply = await self.kits[entry].call(key=key, extra=extra)
             self.statuses.append((self.now(), entry, reply.status))
+            if reply.find(NAMES.leaving) == b"1":
+                self.stated_at.setdefault(f"e{entry}", self.now())
             if reply.status == 503:
                 self.refusals.append((self.now(), float(reply.find(b"retry-after"))))
 
--- a/halldoor/tests/test_leaving_statement.py
+++ b/halldoor/tests/test_leaving_statement.py
@@ -12,6 +12,9 @@
 
 SPREAD_S = 2.0
 """Time after which a leaving target gets no new requests, in seconds."""
+IN_PROGRESS_S = 0.5
+"""Time after an entry received the statement in which its requests in progress may still arrive, in
+seconds."""
 
 
 def state_leaving(target):
@@ -32,13 +35,41 @@
             leaving = fleet.targets[0]
             state_leaving(leaving)
             since = fleet.now() + SPREAD_S
+            if is_isolated:
+                # Nobody can notify these entries: each needs an answer of the target.
+                await fleet.send_until_stated(leaving)
+                assert len(fleet.stated_at) == entries
+                since = max(since, fleet.now() + IN_PROGRESS_S)
             await asking
             assert leaving.count_peak(since=since, window_s=60.0) == 0
+            if is_isolated:
+                assert fleet.list_sent_after_statement(leaving) == []
             assert fleet.find_served(range(entries), since=since) > 0.98
 
     asyncio.run(check())
 
 
+@pytest.mark.parametrize("per_s", [20.0, 60.0, 150.0])
+def test_isolated_entry_sends_requests_after_its_own_answer_said_that_target_leaves(per_s):
+    """At any rate; an entry that had no answer since may still send its first request."""
+
+    async def check():
+        async with RateFleet.open(entries=10, targets=3) as fleet:
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=per_s, for_s=6.0))
+            await asyncio.sleep(1.0)
+            fleet.cut(*range(10), from_others=True)
+            leaving = fleet.targets[0]
+            state_leaving(leaving)
+            await asking
+            await fleet.finish_requests()
+            assert len(fleet.stated_at) > 1
+            assert fleet.list_sent_after_statement(leaving) == []
+            for at, entry in leaving.arrivals:
+                assert at <= fleet.stated_at.get(entry, at) + IN_PROGRESS_S
+
+    asyncio.run(check())
+
+
 def test_entries_learn_of_leaving_target_without_own_requests():
     """Without notices they would find out by own requests, or once the target is gone."""
 
