--- a/halldoor/tests/test_drained_while_connecting.py
+++ b/halldoor/tests/test_drained_while_connecting.py
@@ -6,21 +6,33 @@
 
 import pytest
 
+from halldoor.core.targets.relay import OWN_PAUSE_LIMIT_S
 from halldoor.tests.ratekit import RateFleet
 
-CONNECT_S = 0.25
 
+class Connecting:
+    """Holds back the gateway's new connections to targets until they are released.
 
-def delay_connections(kit):
-    """Delay each new connection to a target by `CONNECT_S`."""
-    pool = kit.gateway.pool
-    open_at_once = pool.open
+    Attributes
+    ----------
+    addresses : list of Address
+        Addresses to which connections are being opened.
+    """
 
-    async def open_late(address, *, timeout_s):
-        await asyncio.sleep(CONNECT_S)
-        return await open_at_once(address, timeout_s=timeout_s)
+    def __init__(self, kit):
+        self.addresses = []
+        self._is_released = asyncio.Event()
+        self._open_at_once = kit.gateway.pool.open
+        kit.gateway.pool.open = self._open
 
-    pool.open = open_late
+    def release(self):
+        """Open all connections, and those that follow at once."""
+        self._is_released.set()
+
+    async def _open(self, address, *, timeout_s):
+        self.addresses.append(address)
+        await self._is_released.wait()
+        return await self._open_at_once(address, timeout_s=timeout_s)
 
 
 @pytest.mark.parametrize("is_evacuated", [False, True])
@@ -32,16 +44,17 @@
             kit = fleet.kits[0]
             leaving = fleet.targets[0]
             fleet.write_target(fleet.targets[1], hall="ams-b")
-            await asyncio.sleep(1.0)  # The pause after a change is over.
-            delay_connections(kit)
+            await asyncio.sleep(OWN_PAUSE_LIMIT_S)
+            connecting = Connecting(kit)
             asking = asyncio.ensure_future(fleet.send_requests(per_s=30.0, for_s=1.5))
-            await asyncio.sleep(0.15)
+            await kit.wait(lambda: leaving.address in connecting.addresses)
             if is_evacuated:
                 fleet.store.put("evacuated/ams-a", b"")
             else:
                 fleet.write_target(leaving, is_draining=True)
             catalog = kit.gateway.catalog
             await kit.wait(lambda: [t.name for t in catalog.list_usable("deck")] == ["t1"])
+            connecting.release()
             await asking
             await asyncio.sleep(0.5)
             assert len(leaving.arrivals) == 0
