--- a/halldoor/tests/test_leaving_statement.py
+++ b/halldoor/tests/test_leaving_statement.py
@@ -126,8 +126,10 @@
                 writer.write(other.build(request, status=status, is_signed=False, extra=fields))
 
             other.script = misdirect
-            await fleet.send_requests(per_s=60.0, for_s=0.5)
             catalog = fleet.kits[0].gateway.catalog
+            asking = asyncio.ensure_future(fleet.send_requests(per_s=60.0, for_s=10.0))
+            await fleet.kits[0].wait(lambda: catalog.find_target("t0") is None)
+            asking.cancel()
             assert not catalog.add_leaving("t0", 0)
             fleet.write_target(other, started_ms=5)
             await fleet.kits[0].wait(lambda: catalog.find_target("t0") is not None)
