--- a/halldoor/standins/target.py
+++ b/halldoor/standins/target.py
@@ -84,6 +84,8 @@
         self._lock = threading.Lock()
         self._started = time.monotonic()
         self._in_flight = 0
+        # The sockets of the requests in flight; None where the server passed none.
+        self._callers: list[Any] = []
         self._shed_credit = 0.0
         self.greatest = 0
         self.runs: Counter[str] = Counter()
@@ -146,7 +148,8 @@
         """Run one request and answer it, or shed it."""
         if self.behaviour.close_idle:
             raise cut_connection(environ, "closed on demand")
-        if not self._reserve_slot():
+        caller = environ.get("halldoor.socket")
+        if not self._reserve_slot(caller):
             return _send_shed(start)
         try:
             size, digest = _digest_body(environ)
@@ -157,9 +160,9 @@
                 self.runs[operation or "(none)"] += 1
             return self._answer(environ, start, size, digest)
         finally:
-            self._release_slot()
+            self._release_slot(caller)
 
-    def _reserve_slot(self) -> bool:
+    def _reserve_slot(self, caller: Any) -> bool:
         """Reserve a slot; return False if the request is shed."""
         with self._lock:
             b = self.behaviour
@@ -176,14 +179,27 @@
                 self.outcomes["shed"] += 1
                 return False
             self._in_flight += 1
-            self.greatest = max(self.greatest, self._in_flight)
+            self._callers.append(caller)
+            if self._in_flight > self.greatest:
+                self.greatest = max(self.greatest, self._count_awaited())
             self._loads.append((time.monotonic(), self._in_flight / b.slots))
             return True
 
-    def _release_slot(self) -> None:
+    def _count_awaited(self) -> int:
+        """Count the requests in flight whose callers wait; with ``ignore_cancel``, all.
+
+        A disconnected caller's request is over, though a process that was stalled may not have
+        ended it yet.
+        """
+        if self.behaviour.ignore_cancel:
+            return self._in_flight
+        return sum(1 for c in self._callers if c is None or not _has_disconnected(c, 0))
+
+    def _release_slot(self, caller: Any) -> None:
         """Release the slot of a finished request."""
         with self._lock:
             self._in_flight -= 1
+            self._callers.remove(caller)
             self._loads.append((time.monotonic(), self._in_flight / self.behaviour.slots))
 
     def _wait_work_time(self, environ: dict[str, Any]) -> bool:
--- a/halldoor/tests/test_standins.py
+++ b/halldoor/tests/test_standins.py
@@ -1,9 +1,16 @@
-"""Concurrent runs of stand-ins must not use the same ports."""
+"""Stand-ins use ports of their own, and count only requests that are in flight."""
 
+import contextlib
+import socket
 import subprocess
 import sys
+import threading
 
+import pytest
+
+from halldoor.standins.fleet import wait_until
 from halldoor.standins.sample import IP
+from halldoor.standins.target import Behaviour, TargetStandin
 
 
 def test_each_process_has_its_own_loopback_address():
@@ -17,3 +24,54 @@
     }
     assert len(others | {IP}) == 4
     assert all(ip.startswith("127.") and 64 <= int(ip.split(".")[1]) < 128 for ip in others)
+
+
+class StalledBody:
+    """A request body whose reading stands still, as in a process that gets no processor time."""
+
+    def __init__(self, resumed):
+        self.resumed = resumed
+
+    def read(self, size):
+        self.resumed.wait(20)
+        return b"x" * size
+
+
+@pytest.mark.parametrize(
+    ("has_disconnected", "ignore_cancel", "greatest"),
+    [(True, False, 6), (True, True, 12), (False, False, 12)],
+)
+def test_stalled_target_keeps_slot_limits(has_disconnected, ignore_cancel, greatest):
+    """A stalled target counted requests whose entries had given them up, beside those after."""
+    standin = TargetStandin(Behaviour(ignore_cancel=ignore_cancel))
+    resumed = threading.Event()
+    threads = []
+    with contextlib.ExitStack() as stack:
+
+        def run(environ):
+            with contextlib.suppress(ConnectionAbortedError):
+                standin(environ, lambda *_: None)
+
+        def send():
+            caller, sock = map(stack.enter_context, socket.socketpair())
+            environ = {"PATH_INFO": "/", "CONTENT_LENGTH": "1", "halldoor.socket": sock}
+            environ["wsgi.input"] = StalledBody(resumed)
+            threads.append(threading.Thread(target=run, args=(environ,)))
+            threads[-1].start()
+            return caller
+
+        try:
+            callers = [send() for _ in range(6)]
+            wait_until(lambda: standin._get_stats()["in_flight"] == 6, what="six requests")
+            if has_disconnected:
+                for caller in callers:
+                    caller.close()
+            for _ in range(6):
+                send()
+            wait_until(lambda: standin._get_stats()["in_flight"] == 12, what="six more")
+            assert standin.greatest == greatest
+        finally:
+            resumed.set()
+            for thread in threads:
+                thread.join()
+    assert standin._get_stats()["in_flight"] == 0
